--- a/lab/src/test/java/stoatrill/lab/rig/LeavingTest.java
+++ b/lab/src/test/java/stoatrill/lab/rig/LeavingTest.java
@@ -40,7 +40,10 @@
     void nothingIsSentToNodesThatBeganToDrainWhileDiscoveryWasAway(@TempDir Path dir) throws Exception {
         kept(
                 PlantedBugTest.planted(
-                        dir, "stoatrill/Decide.java", "LIST_RETRY = 500 * MS", "LIST_RETRY = 60_000 * MS"),
+                        dir,
+                        "stoatrill/Decide.java",
+                        "LIST_RETRY_NANOS = 500 * NANOS_PER_MILLI",
+                        "LIST_RETRY_NANOS = 60_000 * NANOS_PER_MILLI"),
                 dir,
                 LeavingTest::away);
     }
--- a/lab/src/test/java/stoatrill/lab/rig/PlantedBugTest.java
+++ b/lab/src/test/java/stoatrill/lab/rig/PlantedBugTest.java
@@ -24,9 +24,10 @@
  */
 @Timeout(240)
 class PlantedBugTest {
-    private static final String GUARD = "if (first == NONE || r.kind.effect() == Effect.SAFE) {";
+    private static final String GUARD =
+            "if (firstUncertainAt == NONE || request.requestClass.effect() == Effect.SAFE) {";
 
-    private static final String BOUND = "long need = r.kind.need() == Need.BOUNDED ? now - r.kind.bound() : r.need;";
+    private static final String BOUND = "? now - request.requestClass.bound()";
 
     private static final String ANSWERED = "if (p.slot == slot && p.answer == null) {";
 
@@ -116,7 +117,8 @@
 
     @Test
     void anUploadSentAgainAfterAResetIsCaughtAsRanTwice(@TempDir Path dir) throws Exception {
-        RunLine planted = planted(dir, "stoatrill/Decide.java", GUARD, "if (first == NONE || first != NONE) {");
+        RunLine planted = planted(
+                dir, "stoatrill/Decide.java", GUARD, "if (firstUncertainAt == NONE || firstUncertainAt != NONE) {");
         caught(dir, planted, PlantedBugTest::play, Checker.Verdict::ranTwice);
     }
 
@@ -135,11 +137,7 @@
 
     @Test
     void aReadWhoseBoundIsIgnoredIsCaughtAsStale(@TempDir Path dir) throws Exception {
-        RunLine planted = planted(
-                dir,
-                "stoatrill/Decide.java",
-                BOUND,
-                "long need = r.kind.need() == Need.BOUNDED ? now - 1_000 * r.kind.bound() : r.need;");
+        RunLine planted = planted(dir, "stoatrill/Decide.java", BOUND, "? now - 1_000 * request.requestClass.bound()");
         caught(dir, planted, PlantedBugTest::lagging, Checker.Verdict::stale);
     }
 
--- a/router/src/main/java/stoatrill/Decide.java
+++ b/router/src/main/java/stoatrill/Decide.java
@@ -8,1021 +8,1386 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import stoatrill.Gateway.*;
+import stoatrill.estimate.DecayingAverage;
 import stoatrill.estimate.DecayingRate;
-import stoatrill.estimate.FadingEstimate;
 import stoatrill.overload.Backoff;
 import stoatrill.overload.TenantAllowances;
 import stoatrill.session.SessionCommits;
 
 /**
- * The decision module. Its interface, the types, events and actions, is {@code Gateway.java}.
+ * Decides where each request of a gateway runs, when it is retried and when it is refused. The module receives the
+ * events of {@link Gateway.Events} and acts through {@link Gateway}.
  *
- * <p>The ordinary path: a write goes to its group's primary; a read goes to a healthy replica in the
- * gateway's own zone whose log position satisfies the read, drawn against latency times requests in flight;
- * where the local ones are busy or stale, to a fit remote replica, then to the primary. The rest are guards
- * around this.
+ * <p>A write goes to the primary of its group. A read goes to a healthy replica in the gateway's own zone whose log
+ * position satisfies the read, drawn at random with weights by latency times requests in flight. Where the local
+ * replicas are busy or stale, the read goes to a remote replica that is fresh enough, then to the primary. The rest of
+ * the module protects this path from overload and failures.
+ *
+ * <p>Times are nanoseconds of the gateway's clock, and spans are nanoseconds. One thread at a time calls the module.
  */
 public final class Decide implements Gateway.Events {
 
-    // ---- Tuned values, each with its reason ----
-
-    private static final long MS = 1_000_000L;
-    private static final int STEPS_PER_LOOK = 2; // steps between looks at held requests: prompt, still cheap
-    /** Smoothing runs by time, so that it means the same at any rate; one answer counts for so much at most. */
-    private static final double USUAL_OVER = 2e9, SERVER_OVER = 3e9, MOST_NEW = 0.15;
-
-    private static final double WORST = 8; // times the usual: more says nothing more about a server
-    private static final double BUSY = 0.5; // of the aim: a server expected to take longer is busy for a read
-    private static final double LEAST_PATIENCE = 0.2, MOST_PATIENCE = 1.0; // of the aim, by worth
-    /** So many times what a class takes where nothing waits is no queue yet, within this part of the aim. */
-    private static final double UNHURRIED = 1.1, UNHURRIED_MOST = 0.7;
-    /** Overdue: so many times the usual time (one in ten by chance), but within a part of the aim. */
-    private static final double OVERDUE = 2, OVERDUE_MOST = 0.6, MISSED = 4;
-    /** What a report shows waiting is a hint that fades; without the number in work, so many are at work. */
-    private static final double HINT_OVER = 0.3e9, AT_WORK = 6;
-
-    private static final long STILL = 500 * MS; // a position that stood so long while others went on is stuck
-    /** Faults that set a server aside: two nearly in a row, or more where all near it miss. */
-    private static final double FAULTS = 1.5, CHANCE = 0.02, SPOILT = 0.3, RESET = 0.3;
-
-    private static final long JUST_HEARD = 100 * MS;
-    private static final double WARY = 0.02; // share of a zone's requests unanswered that makes bad times
-    private static final long LATELY = 1000 * MS; // a server heard of so lately need not be asked first
-    private static final double FEW = 0.1, SEVERAL = 0.03; // weights of a sample where some ten, thirty count
-    /** First rest of a server that failed; it doubles with each time, and a time is forgotten this slowly. */
-    private static final long REST = 500 * MS, REST_DOUBLINGS = 4, FORGET = 10_000 * MS;
-
-    private static final long KEPT = 60_000 * MS; // a server off the list and silent for so long is forgotten
-    /** Further attempts earned by a request, and how many may be saved up: retries must not become the load. */
-    private static final double RETRY_EARN = 0.2, RETRY_MOST = 30;
-
-    private static final double COLD_SHARE = 0.4; // of the rules' budget; the rest is for what others do unseen
-    private static final long SCOUT_PAUSE = 50 * MS; // after a round of misses: well under any election
-    /** Least time between two probes of a server, and how long a read waits for what one tells. */
-    private static final long PROBE_PAUSE = 250 * MS, PROBE_WAIT = 20 * MS, ASK_AGAIN = 100 * MS;
-
-    private static final long REPORT_AGE = 300 * MS; // how old a report is taken to be before one has shown it
-    private static final long FULL_REST = 100 * MS; // how long a server that refused as full counts as busy
-    private static final double UNKNOWN_LATENCY = 0.3; // of the aim, before any answer
-    /** First wait to ask for the list again; a change counts so long after; two of the longest calls fit in that. */
-    private static final long LIST_RETRY = 500 * MS, MISSED_COUNTS = 6_000 * MS, LOST_CALLS = 4_750 * MS;
-
-    private static final int SESSIONS_KEPT = 50_000; // beyond this, all older writes share one floor
-
-    private static final long LOOK_TOKEN = Long.MIN_VALUE, LIST_TOKEN = LOOK_TOKEN + 1;
-    private static final long NONE = Gateway.NO_POSITION;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    /** Ticks between two passes over the held requests: few enough to be prompt, and still cheap. */
+    private static final int SWEEP_TICK_COUNT = 2;
+
+    /** Time constant of the latency estimate of a class. Smoothing by time means the same at any request rate. */
+    private static final double LATENCY_TIME_CONSTANT_NANOS = 2e9;
+
+    /** Time constant of the slowdown of a server or group, of the queues of a group and of the request rates. */
+    private static final double SERVER_TIME_CONSTANT_NANOS = 3e9;
+
+    /** The largest weight of one answer in a smoothed estimate. */
+    private static final double SAMPLE_WEIGHT_LIMIT = 0.15;
+
+    /** The largest slowdown that one sample counts: a larger one says nothing more about a server. */
+    private static final double SLOWDOWN_LIMIT = 8;
+
+    /** A server whose expected latency exceeds this share of the class's aim is busy for a read. */
+    private static final double BUSY_AIM_SHARE = 0.5;
+
+    /** Share of the aim that a request of no worth may be expected to take. */
+    private static final double MIN_PATIENCE_AIM_SHARE = 0.2;
+
+    /** Share of the aim that a request of the highest worth may be expected to take. */
+    private static final double MAX_PATIENCE_AIM_SHARE = 1.0;
+
+    /** A latency up to this multiple of the one without queueing does not indicate a queue. */
+    private static final double UNQUEUED_LATENCY_FACTOR = 1.1;
+
+    /** Share of the aim beyond which a latency indicates a queue in any case. */
+    private static final double UNQUEUED_AIM_SHARE_LIMIT = 0.7;
+
+    /** An attempt is overdue after this multiple of the usual latency; one in ten exceeds it by chance. */
+    private static final double OVERDUE_LATENCY_FACTOR = 2;
+
+    /** Share of the aim after which an attempt is overdue at the latest. */
+    private static final double OVERDUE_AIM_SHARE_LIMIT = 0.6;
+
+    /**
+     * Silence for more than this multiple of the usual latency is a fault. A replica that reports more than this number
+     * of queued requests for each one in service is unhealthy.
+     */
+    private static final double SEVERE_DELAY_FACTOR = 4;
+
+    /** Time constant by which the queue that a report shows loses its weight. */
+    private static final double REPORT_TIME_CONSTANT_NANOS = 0.3e9;
+
+    /** Number of requests that a server is assumed to have in service where its report does not tell. */
+    private static final double DEFAULT_IN_SERVICE_COUNT = 6;
+
+    /** A log position that has not moved for this long while other members advanced is stuck. */
+    private static final long STUCK_POSITION_NANOS = 500 * NANOS_PER_MILLI;
+
+    /** Fault score that ejects a server: two faults almost in a row. */
+    private static final double FAULT_LIMIT = 1.5;
+
+    /** Where a whole zone fails, more faults are needed: as many as occur in a row with this probability by chance. */
+    private static final double FALSE_SUSPICION_PROBABILITY = 0.02;
+
+    /** A server that sends a malformed answer still runs, so this counts less than a fault. */
+    private static final double MALFORMED_ANSWER_FAULT_WEIGHT = 0.3;
+
+    /** A kept connection may break although its server is up, so a reset counts less than a fault. */
+    private static final double RESET_FAULT_WEIGHT = 0.3;
+
+    /** A connection failure does not count against a server that was heard from within this span. */
+    private static final long JUST_HEARD_NANOS = 100 * NANOS_PER_MILLI;
+
+    /** Share of unanswered attempts above which a zone counts as impaired. */
+    private static final double IMPAIRED_ZONE_UNANSWERED_SHARE = 0.02;
+
+    /** A server heard from within this span need not be probed before it is used. */
+    private static final long RECENTLY_HEARD_NANOS = 1000 * NANOS_PER_MILLI;
+
+    /** Weight of one sample in a moving average over some ten samples; its square averages over some hundred. */
+    private static final double TEN_SAMPLE_WEIGHT = 0.1;
+
+    /** Weight of one sample in a moving average over some thirty samples. */
+    private static final double THIRTY_SAMPLE_WEIGHT = 0.03;
+
+    /** Duration of a server's first ejection; it doubles with each further one. */
+    private static final long FIRST_EJECTION_NANOS = 500 * NANOS_PER_MILLI;
+
+    private static final long EJECTION_DOUBLINGS_LIMIT = 4;
+
+    /** An earlier ejection is forgotten for each such span since the last one. */
+    private static final long EJECTION_EXPIRY_NANOS = 10_000 * NANOS_PER_MILLI;
+
+    /** A server that is off the list and has been silent for this long is forgotten. */
+    private static final long ABSENT_MEMBER_RETENTION_NANOS = 60_000 * NANOS_PER_MILLI;
+
+    /** Further attempts that each request adds to the retry budget, so that retries do not become the load. */
+    private static final double RETRY_BUDGET_RATIO = 0.2;
+
+    /** The most further attempts that the retry budget holds. */
+    private static final double RETRY_BUDGET_LIMIT = 30;
 
-    // ---- State ----
+    /** Share of the rules' slow-start budget that is used; the rest covers traffic of others that is not seen here. */
+    private static final double SLOW_START_BUDGET_SHARE = 0.4;
 
-    private final Gateway out;
+    /** Pause after all members refused a write as replicas; far shorter than any election. */
+    private static final long PRIMARY_SEARCH_PAUSE_NANOS = 50 * NANOS_PER_MILLI;
+
+    /** Least time between two probes of a server. */
+    private static final long PROBE_INTERVAL_NANOS = 250 * NANOS_PER_MILLI;
+
+    /** How long a request waits for the report of a probe. */
+    private static final long PROBE_WAIT_NANOS = 20 * NANOS_PER_MILLI;
+
+    /** Least time between two probes for the same read where no server is fresh enough for it. */
+    private static final long READ_PROBE_RETRY_NANOS = 100 * NANOS_PER_MILLI;
+
+    /** How old a report is assumed to be until a primary's report has shown its age. */
+    private static final long INITIAL_REPORT_AGE_NANOS = 300 * NANOS_PER_MILLI;
+
+    /** How long a server that refused a request as full counts as busy. */
+    private static final long FULL_BUSY_NANOS = 100 * NANOS_PER_MILLI;
+
+    /** Usual latency before any answer, as a share of the class's aim. */
+    private static final double INITIAL_LATENCY_AIM_SHARE = 0.3;
+
+    /** Mean wait before the list is requested again after the first failure. */
+    private static final long LIST_RETRY_NANOS = 500 * NANOS_PER_MILLI;
+
+    /** A list change that was missed counts as known after this span. */
+    private static final long MISSED_CHANGE_NANOS = 6_000 * NANOS_PER_MILLI;
+
+    /** Part of that span and of the drain grace that is kept free for two list calls of the longest duration. */
+    private static final long LOST_CALLS_NANOS = 4_750 * NANOS_PER_MILLI;
+
+    /** Number of sessions whose commits are kept; beyond it, all older writes share one lower bound. */
+    private static final int TRACKED_SESSIONS_LIMIT = 50_000;
+
+    private static final long SWEEP_TOKEN = Long.MIN_VALUE;
+
+    private static final long LIST_RETRY_TOKEN = SWEEP_TOKEN + 1;
+
+    /** An unknown position, or a time that has not occurred; older than any other. */
+    private static final long NONE = Gateway.NO_POSITION;
+
+    private final Gateway gateway;
     private final Settings settings;
     private final Limits limits;
     private final Rules rules;
     private final Replication replication;
     private final RequestClass[] classes;
-    private final boolean checked, remembers;
-    private final double mostWorth;
-    private final FadingEstimate[] usual; // by class, the time to an answer where nothing waits
-    private double[] unanswered = {0}; // by zone, the share of attempts
+    private final boolean serversCheckReads;
+
+    /** Whether this module remembers the commits of sessions because their reads do not carry them. */
+    private final boolean tracksSessions;
+
+    private final double highestWorth;
+
+    /** The time to an answer without queueing, by class. */
+    private final DecayingAverage[] usualLatencies;
+
+    /** The share of attempts that were left unanswered, by zone. */
+    private double[] unansweredShares = {0};
+
     private final SplittableRandom random;
-    private final Map<Long, Member> byServer = new HashMap<>();
-    private final List<Member> members = new ArrayList<>();
-    private final Map<Integer, Group> byNumber = new HashMap<>();
-    private final List<Group> waiting = new ArrayList<>(); // the groups that hold requests
-    private final Map<Long, Request> byId = new HashMap<>();
+    private final Map<Long, MemberState> membersByServer = new HashMap<>();
+    private final List<MemberState> members = new ArrayList<>();
+    private final Map<Integer, GroupState> groupsByNumber = new HashMap<>();
+    private final List<GroupState> groupsWithHeldRequests = new ArrayList<>();
+    private final Map<Long, RequestState> requestsById = new HashMap<>();
     private final Backoff listBackoff;
-    private int lists;
-    private final SessionCommits sessions = new SessionCommits(SESSIONS_KEPT, NONE);
-    private final TenantAllowances tenants;
-    private long now, listCalledAt;
-    private final DecayingRate asked = new DecayingRate(SERVER_OVER);
-    private final DecayingRate warmAnswers = new DecayingRate(SERVER_OVER);
-    /** Further attempts saved up; how old reports are. */
-    private double retryRoom = RETRY_MOST, reportAge = REPORT_AGE;
-
-    private boolean started, showsWaiting;
-    private boolean mayBeOld = true; // whether what the list brings next may have counted as told before
-
-    private static final class Member {
-        long id, startedAt, toldAt;
-        int zone, lastList;
-        Group group;
-        boolean draining, missing, gone;
-        /** Up to here the log is applied, as told at a time; the lag is what that showed. */
-        long position = NONE, positionAt = NONE;
 
+    /** Number of lists received. */
+    private int listCount;
+
+    private final SessionCommits sessionCommits = new SessionCommits(TRACKED_SESSIONS_LIMIT, NONE);
+    private final TenantAllowances tenantAllowances;
+
+    /** The time of the event that is being handled. */
+    private long now;
+
+    private long listCalledAt;
+    private final DecayingRate requestRate = new DecayingRate(SERVER_TIME_CONSTANT_NANOS);
+
+    /** The rate of answers from servers that are not cold. */
+    private final DecayingRate warmAnswerRate = new DecayingRate(SERVER_TIME_CONSTANT_NANOS);
+
+    /** Further attempts that may be made now. */
+    private double retryBudget = RETRY_BUDGET_LIMIT;
+
+    /** An upper bound of how old reports are when they arrive. */
+    private double reportAge = INITIAL_REPORT_AGE_NANOS;
+
+    private boolean hasStarted;
+
+    /** Whether any report has shown how many requests wait at its server. */
+    private boolean reportsShowQueues;
+
+    /** Whether the changes that the next list brings may count as known from an earlier time on. */
+    private boolean listMayBeStale = true;
+
+    /** What is known of a server. */
+    private static final class MemberState {
+        long serverId;
+        long startedAt;
+
+        /** When the list showed that the server drains or is missing; earlier by the grace if the list may be stale. */
+        long departureListedAt;
+
+        int zone;
+
+        /** Number of the last list that contained the server. */
+        int lastListNumber;
+
+        GroupState group;
+        boolean isDraining;
+
+        /** Whether the server is off the list. */
+        boolean isMissing;
+
+        /** Whether the server is off the list and removal binds. */
+        boolean isGone;
+
+        /** Lower bound of the position up to which the log is applied. */
+        long position = NONE;
+
+        /** When a position was last received. */
+        long positionAt = NONE;
+
+        /** The lag behind the present that the last received positions show. */
         double lag;
+
+        /** The time for which the role was last known. */
         long roleAt = NONE;
-        /** Times the usual latency it takes, as known at a time; and what its last report showed waiting. */
-        final FadingEstimate slow = new FadingEstimate(1, SERVER_OVER, MOST_NEW);
 
-        double crowd, usualInFlight, faults;
-        int inFlight, strikes;
-        boolean still, lost, probing, doubted, erring;
-        /** Last heard of at all; at rest until; last set aside. */
-        long heardAt = NONE, restUntil = NONE, restAt, fullUntil, probedAt = NONE, reportAt;
+        /** Latency as a multiple of the usual one. */
+        final DecayingAverage slowdown = new DecayingAverage(1, SERVER_TIME_CONSTANT_NANOS, SAMPLE_WEIGHT_LIMIT);
+
+        /** Requests waiting for each one in service, by the last report, which came at {@code reportAt}. */
+        double queueRatio;
+
+        /** Moving average of the number of attempts in flight. */
+        double usualInFlight;
+
+        /** Faults since the last good answers; each good answer halves it. */
+        double faultScore;
+
+        int inFlight;
+
+        /** Ejections that are not yet forgotten; each lengthens the next one. */
+        int ejectionCount;
+
+        /** Whether the log position stands still while other members advance. */
+        boolean isPositionStuck;
+
+        /** Whether the server failed connections or probes, and so may have restarted unnoticed. */
+        boolean mayHaveRestarted;
+
+        boolean probePending;
+
+        /** Whether the server was ejected and has shown no good sign since. */
+        boolean isSuspected;
+
+        /** Whether the last ejection was for error answers. */
+        boolean ejectedForErrors;
+
+        /** When the server last answered a request. */
+        long lastHeardAt = NONE;
+
+        long ejectedUntil = NONE;
+        long ejectedAt;
+
+        /** The server refused a request as full and counts as busy until this time. */
+        long busyUntil;
 
-        long coldSince = NONE, coldAt;
+        long probedAt = NONE;
+        long reportAt;
+
+        /** When the server started, if it may be cold. */
+        long coldSince = NONE;
+
+        long slowStartFilledAt;
         double slowStartTokens;
     }
 
-    private static final class Group {
-        final List<Member> members = new ArrayList<>();
-        final List<Request> held = new ArrayList<>();
-        Member primary;
-        long primaryAt = NONE, scoutAt, newest = NONE, crowdAt;
-        final FadingEstimate slow = new FadingEstimate(1, SERVER_OVER, MOST_NEW);
-        double crowd;
-        Request scout;
-        int scoutNext;
+    /** What is known of a group: a primary and its replicas. */
+    private static final class GroupState {
+        final List<MemberState> members = new ArrayList<>();
+        final List<RequestState> heldRequests = new ArrayList<>();
+        MemberState primary;
+
+        /** The time for which the primary was last known, or known to be none. */
+        long primaryRoleAt = NONE;
+
+        /** The search for the primary does not start before this time. */
+        long nextSearchAt;
+
+        /** The newest log position of any member. */
+        long newestPosition = NONE;
+
+        long queueRatioAt;
+
+        /** Latency as a multiple of the usual one, over all members. */
+        final DecayingAverage slowdown = new DecayingAverage(1, SERVER_TIME_CONSTANT_NANOS, SAMPLE_WEIGHT_LIMIT);
+
+        /** Moving average of the replicas' queue ratios, as of {@code queueRatioAt}. */
+        double queueRatio;
+
+        /** The held write that is out in search of the primary, or null. */
+        RequestState searchingRequest;
+
+        /** Index of the member to which the search sends next. */
+        int nextSearchIndex;
     }
 
-    private static final class Request {
-        long id, key, arrived, deadline, need = NONE;
-        Group group;
-        RequestClass kind;
+    /** A request and its attempts. */
+    private static final class RequestState {
+        long id;
+        long session;
+        long arrivedAt;
+        long deadline;
+
+        /** The log position that the read has to see. */
+        long requiredPosition = NONE;
+
+        GroupState group;
+        RequestClass requestClass;
+
+        /** The worth of its class, reduced if its tenant exceeds its allowance. */
         double worth;
-        boolean over, held;
-        int kindAt, sent, waiting;
-        long firstMaybe = NONE, askedAt = NONE, dueAt;
-        final Member[] to;
-        final long[] sentAt;
-        final boolean[] ended;
-        boolean missed, asked; // the newest attempt
-
-        Request(int attempts) {
-            to = new Member[attempts];
-            sentAt = new long[attempts];
-            ended = new boolean[attempts];
+
+        boolean isOver;
+        boolean isHeld;
+        int classIndex;
+        int attemptCount;
+        int pendingAttemptCount;
+
+        /** When the first attempt whose effect is uncertain was sent. */
+        long firstUncertainSentAt = NONE;
+
+        /** When a probe was last requested for this read; {@code PROBE_WAIT_NANOS} earlier if none was possible. */
+        long probeRequestedAt = NONE;
+
+        /** When the newest attempt is checked for being overdue. */
+        long overdueAt;
+
+        final MemberState[] attemptMembers;
+        final long[] attemptSentAt;
+        final boolean[] attemptEnded;
+
+        /** Whether a fault was recorded because the newest attempt got no answer. */
+        boolean silenceRecorded;
+
+        /** Whether a probe was requested because the newest attempt is overdue. */
+        boolean overdueProbeRequested;
+
+        RequestState(int attempts) {
+            attemptMembers = new MemberState[attempts];
+            attemptSentAt = new long[attempts];
+            attemptEnded = new boolean[attempts];
         }
     }
 
-    /** A module for one gateway; {@code seed} is the source of its random numbers. */
-    public Decide(Gateway out, Settings settings, long seed) {
-        this.out = out;
+    /**
+     * Creates the module of one gateway.
+     *
+     * @param seed the seed of the module's random numbers
+     */
+    public Decide(Gateway gateway, Settings settings, long seed) {
+        this.gateway = gateway;
         this.settings = settings;
         this.limits = settings.limits();
         this.rules = settings.rules();
         this.replication = settings.replication();
         this.classes = settings.classes().toArray(new RequestClass[0]);
-        this.checked = settings.replication().check() != Check.NONE;
-        this.remembers = !replication.carried()
-                && Arrays.stream(classes).anyMatch(c -> c.need() == Need.SESSION); // else keys would pile up unread
+        this.serversCheckReads = settings.replication().check() != Check.NONE;
+        this.tracksSessions = !replication.carried()
+                // Without session reads, the recorded commits would accumulate unread.
+                && Arrays.stream(classes).anyMatch(c -> c.need() == Need.SESSION);
         this.random = new SplittableRandom(seed);
-        // An agent that pushes lists answers at once and at no cost, and what it has binds at once.
-        long first = settings.asked() ? LIST_RETRY : Math.min(LIST_RETRY, rules.drainGrace() / 4);
-        long room = settings.asked() ? MISSED_COUNTS + rules.drainGrace() - LOST_CALLS : 0;
-        this.listBackoff = new Backoff(first, room / Backoff.MOST_SPREAD);
-        this.tenants = new TenantAllowances(settings.tenants().stream()
+        // An agent that pushes lists answers a call at once and at no cost, and its list binds immediately.
+        long firstWait = settings.asked() ? LIST_RETRY_NANOS : Math.min(LIST_RETRY_NANOS, rules.drainGrace() / 4);
+        long longestWait = settings.asked() ? MISSED_CHANGE_NANOS + rules.drainGrace() - LOST_CALLS_NANOS : 0;
+        this.listBackoff = new Backoff(firstWait, longestWait / Backoff.MAX_JITTER_FACTOR);
+        this.tenantAllowances = new TenantAllowances(settings.tenants().stream()
                 .mapToDouble(t -> t.allowance() / settings.gateways())
                 .toArray());
-        this.mostWorth =
+        this.highestWorth =
                 Arrays.stream(classes).mapToDouble(RequestClass::worth).max().orElse(1);
-        this.usual = Arrays.stream(classes)
-                .map(c -> new FadingEstimate(c.aim() * UNKNOWN_LATENCY, USUAL_OVER, MOST_NEW))
-                .toArray(FadingEstimate[]::new);
+        this.usualLatencies = Arrays.stream(classes)
+                .map(c -> new DecayingAverage(
+                        c.aim() * INITIAL_LATENCY_AIM_SHARE, LATENCY_TIME_CONSTANT_NANOS, SAMPLE_WEIGHT_LIMIT))
+                .toArray(DecayingAverage[]::new);
     }
 
-    // ---- Requests in ----
-
     @Override
     public void request(
-            long at,
+            long currentTime,
             long id,
-            long key,
+            long session,
             int groupNumber,
             long deadline,
             long tokenAge,
-            boolean repeat,
-            int kind,
-            int tenant) {
-        now = at;
-        Request r = new Request(limits.attempts());
-        r.id = id;
-        r.key = key;
-        r.arrived = now;
-        r.deadline = deadline;
-        r.kind = classes[kind];
-        r.kindAt = kind;
-        r.group = group(groupNumber);
-        r.worth = r.kind.worth() * (tenants.exceeds(tenant, now) ? settings.overShareWorth() : 1);
-        if (r.kind.need() == Need.SESSION) {
-            long carried = tokenAge > 0 ? now - tokenAge + MS : NONE;
-            r.need = replication.carried() ? carried : sessions.required(key);
+            boolean isRepeat,
+            int classIndex,
+            int tenantIndex) {
+        now = currentTime;
+        RequestState request = new RequestState(limits.attempts());
+        request.id = id;
+        request.session = session;
+        request.arrivedAt = now;
+        request.deadline = deadline;
+        request.requestClass = classes[classIndex];
+        request.classIndex = classIndex;
+        request.group = findOrCreateGroup(groupNumber);
+        request.worth = request.requestClass.worth()
+                * (tenantAllowances.exceeds(tenantIndex, now) ? settings.overShareWorth() : 1);
+        if (request.requestClass.need() == Need.SESSION) {
+            long carriedPosition = tokenAge > 0 ? now - tokenAge + NANOS_PER_MILLI : NONE;
+            request.requiredPosition =
+                    replication.carried() ? carriedPosition : sessionCommits.requiredPosition(session);
         }
-        byId.put(id, r);
-        asked.add(now);
-        retryRoom = Math.min(RETRY_MOST, Math.max(0, retryRoom) + RETRY_EARN);
-        out.timer(Math.max(0, deadline - now - settings.tick()), id);
-        route(r);
+        requestsById.put(id, request);
+        requestRate.recordEvent(now);
+        retryBudget = Math.min(RETRY_BUDGET_LIMIT, Math.max(0, retryBudget) + RETRY_BUDGET_RATIO);
+        gateway.timer(Math.max(0, deadline - now - settings.tick()), id);
+        routeRequest(request);
     }
 
-    // ---- Choice ----
-
-    private void route(Request r) {
-        if (now >= r.deadline - settings.tick() || r.sent >= limits.attempts() || !mayRepeat(r)) {
-            giveUp(r, "over");
+    /** Sends the request to a server, holds it, or rejects it if it can't be served in time or be sent again. */
+    private void routeRequest(RequestState request) {
+        if (now >= request.deadline - settings.tick()
+                || request.attemptCount >= limits.attempts()
+                || !mayRepeat(request)) {
+            rejectRequest(request, "over");
             return;
         }
-        Member to = target(r);
-        if (to == null || asksFirst(r, to)) {
-            hold(r);
-        } else if (r.firstMaybe == NONE && expected(to, r) > patience(to, r)) {
-            giveUp(r, "patience");
+        MemberState member = chooseMember(request);
+        if (member == null || probeBeforeUse(request, member)) {
+            holdRequest(request);
+        } else if (request.firstUncertainSentAt == NONE
+                && expectedLatency(member, request) > acceptableLatency(member, request)) {
+            rejectRequest(request, "patience");
         } else {
-            send(r, to);
+            sendAttempt(request, member);
         }
     }
 
-    /** The ordinary choice: local replicas, then remote ones, then the primary; each if fit and not busy. */
-    private Member target(Request r) {
-        Member primary = r.group.primary;
-        for (Member x : r.group.members) {
-            if (x.doubted && x.restUntil <= now && listed(x)) {
-                ask(x, "doubted");
+    /**
+     * Chooses a server for the request, or null if none can take it now or the read waits for a report. A read goes to
+     * local replicas, then to remote ones, then to the primary, in each case if they are fresh enough and not busy.
+     */
+    private MemberState chooseMember(RequestState request) {
+        MemberState primary = request.group.primary;
+        for (MemberState candidate : request.group.members) {
+            if (candidate.isSuspected && candidate.ejectedUntil <= now && isListed(candidate)) {
+                requestProbe(candidate, "doubted");
             }
         }
-        if (r.kind.need() == Need.WRITE || r.kind.need() == Need.FRESH) {
-            boolean ready = primary != null && reachable(primary) && primary.fullUntil <= now;
-            return ready && slowStartAllows(primary) ? primary : null;
+        if (request.requestClass.need() == Need.WRITE || request.requestClass.need() == Need.FRESH) {
+            boolean isReady = primary != null && takesWrites(primary) && primary.busyUntil <= now;
+            return isReady && slowStartAllows(primary) ? primary : null;
         }
-        Member m = draw(r, true);
-        if (m == null && askAbout(r, true)) {
+        MemberState chosen = drawReplica(request, true);
+        if (chosen == null && probeForPosition(request, true)) {
             return null;
         }
-        boolean may = primary != null && open(primary, r);
-        m = m == null && may && spare(primary, r) ? primary : m;
-        m = m == null ? draw(r, false) : m;
-        m = m == null && may && !busy(primary, r) ? primary : m;
-        for (int i = 0; m == null && i < 2; i++) {
-            for (Member x : r.group.members) { // all busy: the least so; all at rest: so is it no server's fault
-                may = i == 0 ? open(x, r) : listed(x) && fit(x, r) && slowStartAllows(x) && !usedBefore(r, x);
-                m = may && (m == null || expected(x, r) < expected(m, r)) ? x : m;
+        boolean isAllowed = primary != null && isEligible(primary, request);
+        chosen = chosen == null && isAllowed && hasSpareCapacity(primary, request) ? primary : chosen;
+        chosen = chosen == null ? drawReplica(request, false) : chosen;
+        chosen = chosen == null && isAllowed && !isBusy(primary, request) ? primary : chosen;
+        for (int i = 0; chosen == null && i < 2; i++) {
+            // If all members are busy, the fastest of them serves the read. If all are ejected, none of them is to
+            // blame, so the second round ignores ejections.
+            for (MemberState candidate : request.group.members) {
+                isAllowed = i == 0
+                        ? isEligible(candidate, request)
+                        : isListed(candidate)
+                                && isFreshEnough(candidate, request)
+                                && slowStartAllows(candidate)
+                                && !wasTried(request, candidate);
+                chosen = isAllowed
+                                && (chosen == null
+                                        || expectedLatency(candidate, request) < expectedLatency(chosen, request))
+                        ? candidate
+                        : chosen;
             }
         }
-        return m == null && askAbout(r, false) ? null : m;
+        return chosen == null && probeForPosition(request, false) ? null : chosen;
     }
 
     /**
-     * In bad times asks a server before it is used, if nothing was heard of it lately; true while the request
-     * waits for that. Acts where reports show what waits and the zone leaves requests unanswered. Guards from
-     * each gateway's first request to each server that hangs or is gone. Harm: a probe and 3 ms for each.
+     * Probes a server before its use if nothing was heard from it recently and its zone leaves requests unanswered.
+     * Returns true while the request waits for the report. This requires servers whose reports show queues.
+     *
+     * <p>Otherwise each gateway would send its first request to every server that hangs or is gone. The cost is a probe
+     * and 3 ms for each such request.
      */
-    private boolean asksFirst(Request r, Member m) {
-        boolean may = showsWaiting && unanswered[m.zone] > WARY && now < r.arrived + 3 * PROBE_WAIT;
-        boolean known = Math.max(m.heardAt, m.reportAt) > now - LATELY;
-        return may && !known && ask(m, "first") && now - m.probedAt < PROBE_WAIT;
+    private boolean probeBeforeUse(RequestState request, MemberState member) {
+        boolean mayWait = reportsShowQueues
+                && unansweredShares[member.zone] > IMPAIRED_ZONE_UNANSWERED_SHARE
+                && now < request.arrivedAt + 3 * PROBE_WAIT_NANOS;
+        boolean heardRecently = Math.max(member.lastHeardAt, member.reportAt) > now - RECENTLY_HEARD_NANOS;
+        return mayWait && !heardRecently && requestProbe(member, "first") && now - member.probedAt < PROBE_WAIT_NANOS;
     }
 
     /**
-     * Busy: the smoothed latency, at what is in flight now, nears the class's aim or passes what the request is
-     * worth waiting for, or it refused as full. Guards against a refusal while another server has room.
+     * Whether a read should prefer another server. A server is busy if the expected latency with the attempts in flight
+     * approaches the class's aim or exceeds what the request is worth waiting for, or if it refused a request as full.
+     * This avoids a refusal while another server has room.
      */
-    private boolean busy(Member m, Request r) {
-        double mark = Math.min(Math.max(BUSY * r.kind.aim(), unhurried(m, r)), patience(m, r));
-        return expected(m, r) > mark || m.fullUntil > now;
+    private boolean isBusy(MemberState member, RequestState request) {
+        double limit = Math.min(
+                Math.max(BUSY_AIM_SHARE * request.requestClass.aim(), unqueuedLatency(member, request)),
+                acceptableLatency(member, request));
+        return expectedLatency(member, request) > limit || member.busyUntil > now;
     }
 
     /**
-     * Asks a member whose known position is too old for a read, a local one first, and where no server will do
-     * any, now and then; true while the read waits for it. Where servers check reads it serves later ones only.
-     * Guards against reads that leave their zone for want of news. Harm: in a lagging zone each read waits.
+     * Probes a member whose known position is too old for a read: a local one first, and now and then any one if no
+     * server is fresh enough. Returns true while the read waits for the report. Where servers check reads, the read
+     * does not wait and the report serves later reads only.
+     *
+     * <p>Without this, reads would leave their zone only because positions are not known. The cost is that in a zone
+     * that lags behind each read waits.
      */
-    private boolean askAbout(Request r, boolean local) {
-        if (r.askedAt == NONE || (!local && now - r.askedAt >= ASK_AGAIN)) {
-            Member m = null;
-            int seen = 0;
-            for (Member x : r.group.members) {
-                if ((!local || x.zone == settings.zone()) && listed(x) && !resting(x) && !fit(x, r)) {
-                    m = random.nextInt(++seen) == 0 ? x : m;
+    private boolean probeForPosition(RequestState request, boolean localOnly) {
+        if (request.probeRequestedAt == NONE
+                || (!localOnly && now - request.probeRequestedAt >= READ_PROBE_RETRY_NANOS)) {
+            MemberState chosen = null;
+            int candidateCount = 0;
+            for (MemberState candidate : request.group.members) {
+                if ((!localOnly || candidate.zone == settings.zone())
+                        && isListed(candidate)
+                        && !isEjected(candidate)
+                        && !isFreshEnough(candidate, request)) {
+                    chosen = random.nextInt(++candidateCount) == 0 ? candidate : chosen;
                 }
             }
-            r.askedAt = m != null && ask(m, local ? "local" : "any") ? now : now - PROBE_WAIT;
+            request.probeRequestedAt =
+                    chosen != null && requestProbe(chosen, localOnly ? "local" : "any") ? now : now - PROBE_WAIT_NANOS;
         }
-        return !checked && now - r.askedAt < PROBE_WAIT;
+        return !serversCheckReads && now - request.probeRequestedAt < PROBE_WAIT_NANOS;
     }
 
     /**
-     * A local primary at leisure keeps reads in the zone where the group has no replica there: the post's own
-     * case of a local node with idle resources. Harm: writes may meet reads until its latency shows them.
+     * Whether a lightly loaded local primary takes a read to keep it in the zone. This is the case of a local node with
+     * idle resources, and applies only where the group has no replica in the zone. Reads may compete with writes until
+     * the primary's latency shows it.
      */
-    private boolean spare(Member primary, Request r) {
+    private boolean hasSpareCapacity(MemberState primary, RequestState request) {
         return primary.zone == settings.zone()
-                && expected(primary, r) <= BUSY / 2 * r.kind.aim()
-                && primary.group.members.stream().noneMatch(m -> m != primary && m.zone == primary.zone && listed(m));
+                && expectedLatency(primary, request) <= BUSY_AIM_SHARE / 2 * request.requestClass.aim()
+                && primary.group.members.stream().noneMatch(m -> m != primary && m.zone == primary.zone && isListed(m));
     }
 
-    private boolean open(Member m, Request r) {
-        boolean mute = m.probing && now - m.probedAt >= PROBE_WAIT;
-        return listed(m) && !mute && !resting(m) && !usedBefore(r, m) && fit(m, r) && slowStartAllows(m);
+    /** Whether a server may take a read: it is healthy, fresh enough, not tried before and not too cold. */
+    private boolean isEligible(MemberState member, RequestState request) {
+        boolean reportOverdue = member.probePending && now - member.probedAt >= PROBE_WAIT_NANOS;
+        return isListed(member)
+                && !reportOverdue
+                && !isEjected(member)
+                && !wasTried(request, member)
+                && isFreshEnough(member, request)
+                && slowStartAllows(member);
     }
 
-    /** Draws among the fit, healthy replicas of the own zone, or of the others, against latency x in flight. */
-    private Member draw(Request r, boolean local) {
-        Member chosen = null;
-        double sum = 0;
-        for (Member m : r.group.members) {
-            if (m == r.group.primary || (m.zone == settings.zone()) != local || busy(m, r) || !open(m, r)) {
+    /**
+     * Draws a replica that is eligible and not busy from the gateway's own zone or from the others, or null. The weight
+     * is the inverse square of latency times requests in flight.
+     */
+    private MemberState drawReplica(RequestState request, boolean fromOwnZone) {
+        MemberState chosen = null;
+        double totalWeight = 0;
+        for (MemberState candidate : request.group.members) {
+            if (candidate == request.group.primary
+                    || (candidate.zone == settings.zone()) != fromOwnZone
+                    || isBusy(candidate, request)
+                    || !isEligible(candidate, request)) {
                 continue;
             }
-            double load = expected(m, r) * (m.inFlight + 1);
+            double load = expectedLatency(candidate, request) * (candidate.inFlight + 1);
             double weight = 1 / (load * load);
-            sum += weight;
-            if (random.nextDouble() * sum < weight) {
-                chosen = m;
+            totalWeight += weight;
+            if (random.nextDouble() * totalWeight < weight) {
+                chosen = candidate;
             }
         }
         return chosen;
     }
 
-    private boolean usedBefore(Request r, Member m) {
-        return r.group.members.size() > 1 && Arrays.asList(r.to).indexOf(m) >= 0;
+    private boolean wasTried(RequestState request, MemberState member) {
+        return request.group.members.size() > 1
+                && Arrays.asList(request.attemptMembers).indexOf(member) >= 0;
     }
 
-    /** Whether a server's data is new enough for a read, or, where servers check, probably or nearly so. */
-    private boolean fit(Member m, Request r) {
-        long need = r.kind.need() == Need.BOUNDED ? now - r.kind.bound() : r.need;
-        boolean proved = checked || !limits.probes() || m.roleAt != NONE; // the list alone proves no primary
-        return need == NONE
-                || m.position >= need
-                || (proved && m == r.group.primary)
-                || (checked && now - m.lag >= need - replication.holdsFor() / 2.0);
+    /**
+     * Whether the server's data is new enough for a read. Where servers check reads, it need only be so probably, or
+     * nearly so.
+     */
+    private boolean isFreshEnough(MemberState member, RequestState request) {
+        long required = request.requestClass.need() == Need.BOUNDED
+                ? now - request.requestClass.bound()
+                : request.requiredPosition;
+        // An entry of the list alone does not prove that the server is the primary.
+        boolean primaryIsProven = serversCheckReads || !limits.probes() || member.roleAt != NONE;
+        return required == NONE
+                || member.position >= required
+                || (primaryIsProven && member == request.group.primary)
+                || (serversCheckReads && now - member.lag >= required - replication.holdsFor() / 2.0);
     }
 
-    private boolean listed(Member m) {
-        return !m.draining && !m.gone;
+    private boolean isListed(MemberState member) {
+        return !member.isDraining && !member.isGone;
     }
 
     /**
-     * Whether a primary may be sent writes. One that rests for its errors answers and nobody stands in for it:
-     * guards against writes held until too late for a primary that still serves some of them.
+     * Whether a primary may be sent writes. A primary that is ejected for error answers still responds, and no other
+     * server can replace it. Without this exception, writes would be held until too late although it serves some of
+     * them. A draining primary takes writes during a handover, for the first half of the drain grace.
      */
-    private boolean reachable(Member m) {
-        boolean handsOver = m.draining && now < m.toldAt + rules.drainGrace() / 2;
-        return (!resting(m) || m.erring) && (listed(m) || handsOver);
+    private boolean takesWrites(MemberState member) {
+        boolean mayHandOver = member.isDraining && now < member.departureListedAt + rules.drainGrace() / 2;
+        return (!isEjected(member) || member.ejectedForErrors) && (isListed(member) || mayHandOver);
     }
 
-    private void send(Request r, Member m) {
-        int n = r.sent;
-        r.firstMaybe = firstMaybe(r); // what is out when a copy goes out sets the window, however it ends
-        r.to[n] = m;
-        r.sentAt[n] = now;
-        r.sent++;
-        r.waiting++;
-        r.held = r.missed = r.asked = false;
-        if (r.kind.need() == Need.BOUNDED) {
-            r.need = now - r.kind.bound();
+    private void sendAttempt(RequestState request, MemberState member) {
+        int attempt = request.attemptCount;
+        // An attempt that is pending when a copy is sent determines the repeat window, however it ends.
+        request.firstUncertainSentAt = firstUncertainSendTime(request);
+        request.attemptMembers[attempt] = member;
+        request.attemptSentAt[attempt] = now;
+        request.attemptCount++;
+        request.pendingAttemptCount++;
+        request.isHeld = request.silenceRecorded = request.overdueProbeRequested = false;
+        if (request.requestClass.need() == Need.BOUNDED) {
+            request.requiredPosition = now - request.requestClass.bound();
         }
-        m.inFlight++;
-        m.slowStartTokens--;
-        out.send(r.id, m.id, 0);
-        due(r, span(r, m));
+        member.inFlight++;
+        member.slowStartTokens--;
+        gateway.send(request.id, member.serverId, 0);
+        scheduleOverdueCheck(request, overdueDelay(request, member));
     }
 
-    private void due(Request r, long span) {
-        r.dueAt = now + span;
-        out.timer(span, r.id);
+    private void scheduleOverdueCheck(RequestState request, long delay) {
+        request.overdueAt = now + delay;
+        gateway.timer(delay, request.id);
     }
 
-    private long span(Request r, Member m) {
-        double span = OVERDUE * usual(r) * (r.kind.need() == Need.WRITE ? slowness(m) : 1);
-        return (long) Math.min(span, OVERDUE_MOST * r.kind.aim());
+    /** After how long without an answer an attempt is overdue. */
+    private long overdueDelay(RequestState request, MemberState member) {
+        double delay = OVERDUE_LATENCY_FACTOR
+                * usualLatency(request)
+                * (request.requestClass.need() == Need.WRITE ? currentSlowdown(member) : 1);
+        return (long) Math.min(delay, OVERDUE_AIM_SHARE_LIMIT * request.requestClass.aim());
     }
 
-    // ---- Admission ----
-
     /**
-     * How long a request may be expected to take and still be taken on: the less worth, on time and late, the
-     * shorter. One held past its aim goes by its late worth. Harm: it may take the place of one still in time.
+     * The longest expected latency with which a request is still accepted; it grows with the request's worth. A request
+     * held past its aim is judged by its late worth instead, and may take the place of one that is still in time.
      */
-    private double patience(Member m, Request r) {
-        double share = LEAST_PATIENCE + (MOST_PATIENCE - LEAST_PATIENCE) * r.worth / mostWorth;
-        double most = Math.max(r.kind.aim() * share, unhurried(m, r));
-        long waited = now - r.arrived;
-        return waited < most / 2 ? most - waited : r.kind.lateWorth() * (r.deadline - now);
+    private double acceptableLatency(MemberState member, RequestState request) {
+        double share = MIN_PATIENCE_AIM_SHARE
+                + (MAX_PATIENCE_AIM_SHARE - MIN_PATIENCE_AIM_SHARE) * request.worth / highestWorth;
+        double limit = Math.max(request.requestClass.aim() * share, unqueuedLatency(member, request));
+        long waited = now - request.arrivedAt;
+        return waited < limit / 2 ? limit - waited : request.requestClass.lateWorth() * (request.deadline - now);
     }
 
     /**
-     * How long a class may take at a server before that means a queue. Guards against refusing nearly all while
-     * every server is slow but none has a queue. A primary is spared: its writes wait. Harm: more comes late.
+     * The latency of a class at a server up to which no queue is assumed. Without it, nearly all requests would be
+     * refused while every server is slow but none has a queue; with it, more answers come late. It does not apply to a
+     * primary, since its writes do queue.
      */
-    private double unhurried(Member m, Request r) {
-        double most = UNHURRIED_MOST * r.kind.aim();
-        return m == r.group.primary ? 0 : Math.min(UNHURRIED * usual(r) * slowness(m), most);
+    private double unqueuedLatency(MemberState member, RequestState request) {
+        double limit = UNQUEUED_AIM_SHARE_LIMIT * request.requestClass.aim();
+        return member == request.group.primary
+                ? 0
+                : Math.min(UNQUEUED_LATENCY_FACTOR * usualLatency(request) * currentSlowdown(member), limit);
     }
 
     /**
-     * What a request sent now should take: the class's usual time by what is known of the server, once more for
-     * each that waits for one at work, and stretched if more is in flight than usual. A few in flight crowd no
-     * server. Guards against a replica that is used so little that a second request would make it look busy.
+     * The latency expected of a request sent now. It is the class's usual latency, scaled by the slowdown of the
+     * server, by the reported queue (once more for each waiting request per one in service), and by the attempts in
+     * flight if there are more than usual.
+     *
+     * <p>A few attempts in flight do not slow a server down. Otherwise a rarely used replica would look busy with its
+     * second request.
      */
-    private double expected(Member m, Request r) {
-        double crowd = Math.max(1, (m.inFlight + 1) / (Math.max(AT_WORK, m.usualInFlight) + 1));
-        return usual(r) * slowness(m) * crowd * (1 + reportedCrowd(m));
+    private double expectedLatency(MemberState member, RequestState request) {
+        double crowding =
+                Math.max(1, (member.inFlight + 1) / (Math.max(DEFAULT_IN_SERVICE_COUNT, member.usualInFlight) + 1));
+        return usualLatency(request) * currentSlowdown(member) * crowding * (1 + estimatedQueueRatio(member));
     }
 
-    /** A class's usual time; without answers it fades, or what a bad time taught would refuse all for ever. */
-    private double usual(Request r) {
-        return usual[r.kindAt].at(now, r.kind.aim() * UNKNOWN_LATENCY);
+    /**
+     * The usual latency of the request's class. Without answers it returns to its initial value: otherwise the
+     * latencies of a bad period would have all requests refused for ever.
+     */
+    private double usualLatency(RequestState request) {
+        return usualLatencies[request.classIndex].valueAt(now, request.requestClass.aim() * INITIAL_LATENCY_AIM_SHARE);
     }
 
-    /** How much slower than usual a server is; not used lately it is judged by its group. */
-    private double slowness(Member m) {
-        return m.slow.at(now, m.group.slow.at(now, 1));
+    /** How much slower than usual a server is. A server that was not used recently is judged by its group. */
+    private double currentSlowdown(MemberState member) {
+        return member.slowdown.valueAt(now, member.group.slowdown.valueAt(now, 1));
     }
 
     /**
-     * Requests waiting for each one at work, by the last report; the older, the more its replicas' mean counts.
-     * Guards against many gateways that each take a crowded server, seldom heard of, for an idle one.
+     * The number of requests waiting for each one in service. The older the server's last report, the more the mean
+     * over its group's replicas counts. Otherwise many gateways, each of which rarely hears from a server, would take a
+     * crowded server for an idle one.
      */
-    private double reportedCrowd(Member m) {
-        double all = m.group.crowd * Math.exp((m.group.crowdAt - now) / SERVER_OVER);
-        return all + (m.crowd - all) * Math.exp((m.reportAt - now) / HINT_OVER);
+    private double estimatedQueueRatio(MemberState member) {
+        double groupRatio =
+                member.group.queueRatio * Math.exp((member.group.queueRatioAt - now) / SERVER_TIME_CONSTANT_NANOS);
+        return groupRatio
+                + (member.queueRatio - groupRatio) * Math.exp((member.reportAt - now) / REPORT_TIME_CONSTANT_NANOS);
     }
 
-    private void hold(Request r) {
-        if (r.kind.lateWorth() == 0 && now - r.arrived > r.kind.aim()) {
-            giveUp(r, "held");
-        } else if (!r.held) {
-            r.held = true;
-            r.group.held.add(r);
-            if (r.group.held.size() == 1) {
-                waiting.add(r.group);
+    /** Keeps the request until a server can take it; rejects it if it is past its aim and worth nothing late. */
+    private void holdRequest(RequestState request) {
+        if (request.requestClass.lateWorth() == 0 && now - request.arrivedAt > request.requestClass.aim()) {
+            rejectRequest(request, "held");
+        } else if (!request.isHeld) {
+            request.isHeld = true;
+            request.group.heldRequests.add(request);
+            if (request.group.heldRequests.size() == 1) {
+                groupsWithHeldRequests.add(request.group);
             }
         }
     }
 
-    // ---- Outcomes ----
-
     @Override
     public void outcome(
-            long at,
+            long currentTime,
             long id,
             int attempt,
             long server,
             Result result,
-            long took,
-            boolean over,
+            long elapsed,
+            boolean isRequestOver,
             long position,
             Role role,
             Report report) {
-        now = at;
-        Member m = byServer.get(server);
-        Request r = byId.get(id);
-        if (m != null) {
-            m.inFlight = Math.max(0, m.inFlight - 1);
+        now = currentTime;
+        MemberState member = membersByServer.get(server);
+        RequestState request = requestsById.get(id);
+        if (member != null) {
+            member.inFlight = Math.max(0, member.inFlight - 1);
             if (report != null) {
-                reported(m, report);
+                recordReport(member, report);
             }
-            learn(m, result, took, r);
-            believe(m, role, now);
+            recordResult(member, result, elapsed, request);
+            recordRole(member, role, now);
             if (position != NONE) {
-                progress(m, position, (double) (now - position), (double) (now - position));
-                if (remembers && r != null && r.kind.need() == Need.WRITE && result == Result.OK) {
-                    sessions.record(r.key, position, now);
+                recordPosition(member, position, (double) (now - position), (double) (now - position));
+                if (tracksSessions
+                        && request != null
+                        && request.requestClass.need() == Need.WRITE
+                        && result == Result.OK) {
+                    sessionCommits.record(request.session, position, now);
                 }
             }
         }
-        if (r == null || attempt >= r.sent || r.ended[attempt]) {
+        if (request == null || attempt >= request.attemptCount || request.attemptEnded[attempt]) {
             return;
         }
-        r.ended[attempt] = true;
-        r.waiting--;
+        request.attemptEnded[attempt] = true;
+        request.pendingAttemptCount--;
         if (!result.certain) {
-            r.firstMaybe = r.firstMaybe == NONE ? r.sentAt[attempt] : Math.min(r.firstMaybe, r.sentAt[attempt]);
+            request.firstUncertainSentAt = request.firstUncertainSentAt == NONE
+                    ? request.attemptSentAt[attempt]
+                    : Math.min(request.firstUncertainSentAt, request.attemptSentAt[attempt]);
         }
-        if (over || r.over) {
-            end(r);
+        if (isRequestOver || request.isOver) {
+            endRequest(request);
             return;
         }
-        if (r.group.scout == r) {
-            r.group.scout = null;
+        if (request.group.searchingRequest == request) {
+            request.group.searchingRequest = null;
         }
-        if (r.waiting == 0) {
-            retryRoom -= result.certain ? 0 : 1;
-            if (retryRoom < 0) {
-                giveUp(r, "budget");
+        if (request.pendingAttemptCount == 0) {
+            retryBudget -= result.certain ? 0 : 1;
+            if (retryBudget < 0) {
+                rejectRequest(request, "budget");
             } else {
-                route(r);
+                routeRequest(request);
             }
         }
     }
 
-    /** Whether the class lets a request be sent once more, given what may have run. */
-    private boolean mayRepeat(Request r) {
-        long first = firstMaybe(r);
-        if (first == NONE || r.kind.effect() == Effect.SAFE) {
+    /** Whether the class permits another attempt, given the attempts that may have run. */
+    private boolean mayRepeat(RequestState request) {
+        long firstUncertainAt = firstUncertainSendTime(request);
+        if (firstUncertainAt == NONE || request.requestClass.effect() == Effect.SAFE) {
             return true;
         }
-        return r.kind.effect() == Effect.KEYED
-                && r.kind.scope() != Scope.ZONE
-                && now < first + r.kind.repeatWindow() - rules.answerSlack();
+        return request.requestClass.effect() == Effect.KEYED
+                && request.requestClass.scope() != Scope.ZONE
+                && now < firstUncertainAt + request.requestClass.repeatWindow() - rules.answerSlack();
     }
 
-    /** When the first attempt that may have run was sent; those still out may have. */
-    private long firstMaybe(Request r) {
-        long first = r.firstMaybe;
-        for (int i = 0; i < r.sent; i++) {
-            if (!r.ended[i] && (first == NONE || r.sentAt[i] < first)) {
-                first = r.sentAt[i];
+    /** When the first attempt that may have run was sent, or {@code NONE}. Pending attempts may have run. */
+    private long firstUncertainSendTime(RequestState request) {
+        long firstSentAt = request.firstUncertainSentAt;
+        for (int i = 0; i < request.attemptCount; i++) {
+            if (!request.attemptEnded[i] && (firstSentAt == NONE || request.attemptSentAt[i] < firstSentAt)) {
+                firstSentAt = request.attemptSentAt[i];
             }
         }
-        return first;
+        return firstSentAt;
     }
 
     @Override
-    public void begun(long at, long id, int attempt, long server) {
-        now = at;
-        Request r = byId.get(id);
-        if (r != null && attempt < r.sent && !r.ended[attempt]) {
-            r.ended[attempt] = true;
-            r.waiting--;
-            left(at, id);
+    public void begun(long currentTime, long id, int attempt, long server) {
+        now = currentTime;
+        RequestState request = requestsById.get(id);
+        if (request != null && attempt < request.attemptCount && !request.attemptEnded[attempt]) {
+            request.attemptEnded[attempt] = true;
+            request.pendingAttemptCount--;
+            left(currentTime, id);
         }
     }
 
     @Override
-    public void left(long at, long id) {
-        now = at;
-        Request r = byId.get(id);
-        if (r != null && !r.over) {
-            end(r);
+    public void left(long currentTime, long id) {
+        now = currentTime;
+        RequestState request = requestsById.get(id);
+        if (request != null && !request.isOver) {
+            endRequest(request);
         }
     }
 
     @Override
-    public void timer(long at, long token) {
-        now = at;
-        if (token == LOOK_TOKEN) {
-            look();
-            out.timer(STEPS_PER_LOOK * settings.tick(), LOOK_TOKEN);
-        } else if (token == LIST_TOKEN) {
+    public void timer(long currentTime, long token) {
+        now = currentTime;
+        if (token == SWEEP_TOKEN) {
+            sweepHeldRequests();
+            gateway.timer(SWEEP_TICK_COUNT * settings.tick(), SWEEP_TOKEN);
+        } else if (token == LIST_RETRY_TOKEN) {
             listCalledAt = now;
-            out.follow(true);
+            gateway.follow(true);
         } else {
-            Request r = byId.get(token);
-            if (r != null && !r.over && now >= r.deadline - settings.tick()) {
-                giveUp(r, "deadline");
-            } else if (r != null && !r.over && r.waiting > 0 && now >= r.dueAt) {
-                overdue(r);
+            RequestState request = requestsById.get(token);
+            if (request != null && !request.isOver && now >= request.deadline - settings.tick()) {
+                rejectRequest(request, "deadline");
+            } else if (request != null
+                    && !request.isOver
+                    && request.pendingAttemptCount > 0
+                    && now >= request.overdueAt) {
+                handleOverdueAttempt(request);
             }
         }
     }
 
-    // ---- Positions and roles ----
-
     /**
-     * A position told is a lower bound from then on. Where servers check reads, the lag that it shows, between
-     * two figures since news is some time old, is a guess at the next; only what the news disproves changes.
+     * Records a position of the server's log, which is a lower bound from now on. The lag that it shows estimates the
+     * server's lag where servers check reads. News is some time old, so the lag lies between {@code minLag} and
+     * {@code maxLag}, and the estimate changes only as far as this range contradicts it.
      */
-    private void progress(Member m, long position, double leastLag, double mostLag) {
-        m.position = Math.max(m.position, position);
-        m.positionAt = now;
-        m.group.newest = Math.max(m.group.newest, position);
-        m.lag = Math.max(0, Math.max(leastLag, Math.min(mostLag, m.lag)));
+    private void recordPosition(MemberState member, long position, double minLag, double maxLag) {
+        member.position = Math.max(member.position, position);
+        member.positionAt = now;
+        member.group.newestPosition = Math.max(member.group.newestPosition, position);
+        member.lag = Math.max(0, Math.max(minLag, Math.min(maxLag, member.lag)));
     }
 
-    /** A report is some time old. How old at most shows in those of primaries, which stand at the present. */
-    private void reported(Member m, Report report) {
-        believe(m, report.role(), now - (long) reportAge);
-        m.reportAt = now;
+    /**
+     * Records a report. Reports are some time old; the reports of primaries, whose position is the present, show how
+     * old at most.
+     */
+    private void recordReport(MemberState member, Report report) {
+        recordRole(member, report.role(), now - (long) reportAge);
+        member.reportAt = now;
         if (report.waiting() >= 0) {
-            showsWaiting = true;
-            double atWork = report.held() > report.waiting() ? report.held() - report.waiting() : AT_WORK;
-            m.crowd = report.waiting() / Math.max(1, atWork);
-            Group g = m.group;
-            if (m != g.primary) { // a queue of writes says nothing of replicas
-                // Of one report little: the others may be idle. Of many in a moment no more: they tell the same.
-                g.crowd += Math.min(SEVERAL, 1 - Math.exp((g.crowdAt - now) / SERVER_OVER)) * (m.crowd - g.crowd);
-                g.crowdAt = now;
+            reportsShowQueues = true;
+            double inServiceCount =
+                    report.held() > report.waiting() ? report.held() - report.waiting() : DEFAULT_IN_SERVICE_COUNT;
+            member.queueRatio = report.waiting() / Math.max(1, inServiceCount);
+            GroupState group = member.group;
+            // A queue of writes at the primary says nothing about replicas.
+            if (member != group.primary) {
+                // One report counts little, since the other replicas may be idle. Many reports within a moment count
+                // no more, since they show the same queue.
+                group.queueRatio += Math.min(
+                                THIRTY_SAMPLE_WEIGHT,
+                                1 - Math.exp((group.queueRatioAt - now) / SERVER_TIME_CONSTANT_NANOS))
+                        * (member.queueRatio - group.queueRatio);
+                group.queueRatioAt = now;
             }
         }
         if (report.position() == NONE) {
             return;
         }
-        double behind = now - report.position();
-        m.still = m.group.newest > report.position() + 2 * STILL
-                && report.position() <= m.position
-                && now - m.positionAt > STILL;
-        if (report.role() == Role.PRIMARY && behind < 2 * STILL) { // a hung primary's position stands still
-            reportAge = behind > reportAge ? behind : reportAge + FEW * FEW * (behind - reportAge);
+        double lag = now - report.position();
+        member.isPositionStuck = member.group.newestPosition > report.position() + 2 * STUCK_POSITION_NANOS
+                && report.position() <= member.position
+                && now - member.positionAt > STUCK_POSITION_NANOS;
+        // The position of a hung primary stands still, so it does not show the age of the report.
+        if (report.role() == Role.PRIMARY && lag < 2 * STUCK_POSITION_NANOS) {
+            reportAge = lag > reportAge ? lag : reportAge + TEN_SAMPLE_WEIGHT * TEN_SAMPLE_WEIGHT * (lag - reportAge);
         }
-        if (!replication.reportsInline() || report.position() > m.position) {
-            progress(m, report.position(), behind - reportAge, behind);
+        if (!replication.reportsInline() || report.position() > member.position) {
+            recordPosition(member, report.position(), lag - reportAge, lag);
         }
     }
 
-    /** The newest evidence of a role wins, by when it was true. */
-    private void believe(Member m, Role role, long since) {
-        if (role == Role.UNKNOWN || since < m.roleAt) {
+    /** Records a role of the server as of a time. The newest evidence wins, by the time for which it was true. */
+    private void recordRole(MemberState member, Role role, long since) {
+        if (role == Role.UNKNOWN || since < member.roleAt) {
             return;
         }
-        m.roleAt = since;
-        Group g = m.group;
-        if (role == Role.PRIMARY ? since >= g.primaryAt : g.primary == m) {
-            g.primary = role == Role.PRIMARY ? m : null;
-            g.primaryAt = since;
+        member.roleAt = since;
+        GroupState group = member.group;
+        if (role == Role.PRIMARY ? since >= group.primaryRoleAt : group.primary == member) {
+            group.primary = role == Role.PRIMARY ? member : null;
+            group.primaryRoleAt = since;
         }
     }
 
-    /** With no known primary, one held write at a time goes round the members; only a miss lets it go on. */
-    private void seekPrimary(Group g) {
-        if (g.scout != null || now < g.scoutAt || g.held.isEmpty()) {
+    /**
+     * Looks for the primary of a group that has none known. One held write at a time is sent to one member after the
+     * other; only an answer of {@link Result#MISS} continues the search.
+     */
+    private void searchForPrimary(GroupState group) {
+        if (group.searchingRequest != null || now < group.nextSearchAt || group.heldRequests.isEmpty()) {
             return;
         }
-        Request r = null;
-        for (Request h : g.held) {
-            if (h.held
-                    && h.kind.need() == Need.WRITE
-                    && mayRepeat(h)
-                    && h.waiting == 0
-                    && h.sent < limits.attempts()
-                    && (r == null || h.deadline > r.deadline)) {
-                r = h;
+        RequestState write = null;
+        for (RequestState candidate : group.heldRequests) {
+            if (candidate.isHeld
+                    && candidate.requestClass.need() == Need.WRITE
+                    && mayRepeat(candidate)
+                    && candidate.pendingAttemptCount == 0
+                    && candidate.attemptCount < limits.attempts()
+                    && (write == null || candidate.deadline > write.deadline)) {
+                write = candidate;
             }
         }
-        while (r != null && g.scoutNext < g.members.size()) {
-            Member m = g.members.get(g.scoutNext++);
-            if (reachable(m) && listed(m) && slowStartAllows(m)) {
-                g.scout = r;
-                send(r, m);
+        while (write != null && group.nextSearchIndex < group.members.size()) {
+            MemberState member = group.members.get(group.nextSearchIndex++);
+            if (takesWrites(member) && isListed(member) && slowStartAllows(member)) {
+                group.searchingRequest = write;
+                sendAttempt(write, member);
                 return;
             }
         }
-        g.scoutNext = r == null ? g.scoutNext : 0;
-        g.scoutAt = now + (r == null ? 0 : SCOUT_PAUSE);
+        group.nextSearchIndex = write == null ? group.nextSearchIndex : 0;
+        group.nextSearchAt = now + (write == null ? 0 : PRIMARY_SEARCH_PAUSE_NANOS);
     }
 
-    // ---- Health ----
-
     /**
-     * The newest attempt has taken far longer than usual. A long request is long anywhere, so this alone moves
-     * nothing; if its server has answered nothing since, it is asked for its report. A bad one, or four usual
-     * times, make a fault. Once the server rests or is sick, a safe or keyed request is tried elsewhere within
-     * the retry budget: as a second copy, or moved where those are not allowed. Guards against servers hung,
-     * silent, overrun or cut off. Harm: a probe, and a copy of what was only long.
+     * Handles a newest attempt that has taken far longer than usual. A long request takes long on any server, so the
+     * delay alone moves nothing. If the server has answered nothing since the attempt was sent, it is probed. A bad
+     * report, or silence for four times the usual latency, counts as a fault.
+     *
+     * <p>Once the server is ejected or unhealthy, a request that is safe or has a key is tried on another server within
+     * the retry budget: as a second copy, or, where those are not permitted, after the attempt is cancelled. This
+     * covers servers that hang, are silent, are overloaded or are cut off. The cost is a probe, and a copy of a request
+     * that was only long.
      */
-    private void overdue(Request r) {
-        int last = r.sent - 1;
-        Member m = r.to[last];
-        if (r.ended[last]) {
+    private void handleOverdueAttempt(RequestState request) {
+        int attempt = request.attemptCount - 1;
+        MemberState member = request.attemptMembers[attempt];
+        if (request.attemptEnded[attempt]) {
             return;
         }
-        boolean unheard = m.heardAt <= r.sentAt[last];
-        boolean asks = unheard && !r.asked && ask(m, "overdue");
-        r.asked = true;
-        due(r, asks ? PROBE_WAIT : span(r, m));
-        if (unheard && !r.missed && (sick(m) || now - r.sentAt[last] > MISSED * usual(r))) {
-            r.missed = true;
-            sample(m, r, (double) (now - r.sentAt[last]));
-            unanswered[m.zone] += SEVERAL * (1 - unanswered[m.zone]);
-            fault(m, "silence");
+        boolean isSilent = member.lastHeardAt <= request.attemptSentAt[attempt];
+        boolean probeIsPending = isSilent && !request.overdueProbeRequested && requestProbe(member, "overdue");
+        request.overdueProbeRequested = true;
+        scheduleOverdueCheck(request, probeIsPending ? PROBE_WAIT_NANOS : overdueDelay(request, member));
+        if (isSilent
+                && !request.silenceRecorded
+                && (isUnhealthy(member)
+                        || now - request.attemptSentAt[attempt] > SEVERE_DELAY_FACTOR * usualLatency(request))) {
+            request.silenceRecorded = true;
+            recordLatency(member, request, (double) (now - request.attemptSentAt[attempt]));
+            unansweredShares[member.zone] += THIRTY_SAMPLE_WEIGHT * (1 - unansweredShares[member.zone]);
+            recordFault(member, "silence");
         }
-        boolean may = retryRoom >= 1 && mayRepeat(r) && r.sent < limits.attempts();
-        Member to = may && (resting(m) || sick(m)) ? target(r) : null;
-        if (to != null && !limits.secondCopies()) {
-            out.cancel(r.id, last);
-        } else if (to != null) {
-            retryRoom--;
-            send(r, to);
+        boolean mayRetry = retryBudget >= 1 && mayRepeat(request) && request.attemptCount < limits.attempts();
+        MemberState alternative = mayRetry && (isEjected(member) || isUnhealthy(member)) ? chooseMember(request) : null;
+        if (alternative != null && !limits.secondCopies()) {
+            gateway.cancel(request.id, attempt);
+        } else if (alternative != null) {
+            retryBudget--;
+            sendAttempt(request, alternative);
         }
     }
 
-    /** What one request took says something of its server, and of the group, whose load the server shares. */
-    private void sample(Member m, Request r, double took) {
-        double times = Math.min(WORST, took / usual(r));
-        m.slow.sample(times, now, m.group.slow.at(now, 1));
-        m.group.slow.sample(times, now, 1);
+    /** Records a latency for the server and for its group, since the server shares the group's load. */
+    private void recordLatency(MemberState member, RequestState request, double elapsed) {
+        double ratio = Math.min(SLOWDOWN_LIMIT, elapsed / usualLatency(request));
+        member.slowdown.addSample(ratio, now, member.group.slowdown.valueAt(now, 1));
+        member.group.slowdown.addSample(ratio, now, 1);
     }
 
-    private void learn(Member m, Result result, long took, Request r) {
+    private void recordResult(MemberState member, Result result, long elapsed, RequestState request) {
         switch (result) {
             case OK -> {
-                answered(m);
-                if (!isCold(m)) {
-                    warmAnswers.add(now);
+                recordAnswer(member);
+                if (!isCold(member)) {
+                    warmAnswerRate.recordEvent(now);
                 }
-                if (r != null) {
-                    double work = took / (1 + m.crowd); // the rest of the time it waited, which other terms count
-                    sample(m, r, work);
-                    usual[r.kindAt].sample(work, now, r.kind.aim() * UNKNOWN_LATENCY);
+                if (request != null) {
+                    // The request waited for the rest of the time, which the queue ratio accounts for.
+                    double serviceTime = elapsed / (1 + member.queueRatio);
+                    recordLatency(member, request, serviceTime);
+                    usualLatencies[request.classIndex].addSample(
+                            serviceTime, now, request.requestClass.aim() * INITIAL_LATENCY_AIM_SHARE);
                 }
-                m.usualInFlight += FEW * FEW * (m.inFlight - m.usualInFlight);
-                m.faults /= 2;
-                if (r != null && r.need != NONE && checked) {
-                    m.position = Math.max(m.position, r.need);
-                    m.lag = Math.min(m.lag, (double) (now - took - r.need));
+                member.usualInFlight +=
+                        TEN_SAMPLE_WEIGHT * TEN_SAMPLE_WEIGHT * (member.inFlight - member.usualInFlight);
+                member.faultScore /= 2;
+                if (request != null && request.requiredPosition != NONE && serversCheckReads) {
+                    member.position = Math.max(member.position, request.requiredPosition);
+                    member.lag = Math.min(member.lag, (double) (now - elapsed - request.requiredPosition));
                 }
             }
             case ERROR -> {
-                answered(m);
-                fault(m, "errors");
+                recordAnswer(member);
+                recordFault(member, "errors");
             }
-            case FULL -> m.fullUntil = now + FULL_REST; // no sign of life: a hung server fills up too
+            // Not a sign of life: a hung server fills up too.
+            case FULL -> member.busyUntil = now + FULL_BUSY_NANOS;
             case SPOILT -> {
-                answered(m); // it runs, so what spoils an answer now and then is no reason to leave it
-                fault(m, "spoilt answers", SPOILT);
+                // The server runs, so an occasional malformed answer is no reason to avoid it.
+                recordAnswer(member);
+                recordFault(member, "spoilt answers", MALFORMED_ANSWER_FAULT_WEIGHT);
             }
             case MISS -> {
-                answered(m);
-                if (r != null && r.kind.need() == Need.WRITE) {
-                    believe(m, Role.REPLICA, now);
-                } else if (r != null && r.need != NONE) {
-                    m.lag = Math.max(m.lag, (double) (now - r.need));
+                recordAnswer(member);
+                if (request != null && request.requestClass.need() == Need.WRITE) {
+                    recordRole(member, Role.REPLICA, now);
+                } else if (request != null && request.requiredPosition != NONE) {
+                    member.lag = Math.max(member.lag, (double) (now - request.requiredPosition));
                 }
             }
-            case CONNECT_FAILED -> fault(m, "connections");
-            case RESET -> fault(m, "connections", RESET); // a kept connection may go without its server
+            case CONNECT_FAILED -> recordFault(member, "connections");
+            // A kept connection may break although its server is up.
+            case RESET -> recordFault(member, "connections", RESET_FAULT_WEIGHT);
             default -> {}
         }
     }
 
-    /** A server that took no connections or answered no probe may have restarted unseen: it is cold. */
-    private void returned(Member m) {
-        if (m.lost) {
-            cold(m, now);
+    /**
+     * Records that the server responds. A server that took no connections or answered no probe may have restarted
+     * unnoticed, so it is treated as cold.
+     */
+    private void recordReachable(MemberState member) {
+        if (member.mayHaveRestarted) {
+            markCold(member, now);
         }
-        m.lost = false;
+        member.mayHaveRestarted = false;
     }
 
-    private void answered(Member m) {
-        unanswered[m.zone] -= SEVERAL * unanswered[m.zone];
-        returned(m);
-        m.doubted = false;
-        m.heardAt = now;
+    private void recordAnswer(MemberState member) {
+        unansweredShares[member.zone] -= THIRTY_SAMPLE_WEIGHT * unansweredShares[member.zone];
+        recordReachable(member);
+        member.isSuspected = false;
+        member.lastHeardAt = now;
     }
 
     /**
-     * One account for errors, broken connections and requests left unanswered: two nearly in a row set a server
-     * aside for a rest that doubles; a good answer halves the account, only time shortens the next rest. Where
-     * its zone leaves many unanswered, more are needed, and at most half of a group rests: what strikes all is
-     * no server's fault. Harm: chance sets one aside for half a second.
+     * Adds a fault to the server's score, which counts errors, broken connections and unanswered requests together. Two
+     * faults almost in a row eject the server for a time that doubles with each ejection. A good answer halves the
+     * score; only the passing of time shortens the next ejection.
+     *
+     * <p>Where the server's zone leaves many requests unanswered, more faults are needed, and at most half of a group
+     * is ejected at a time: what affects all servers is not the fault of one. The cost is that chance may eject a
+     * server for half a second.
      */
-    private void fault(Member m, String why) {
-        fault(m, why, sick(m) ? FAULTS : 1);
+    private void recordFault(MemberState member, String cause) {
+        recordFault(member, cause, isUnhealthy(member) ? FAULT_LIMIT : 1);
     }
 
-    private void fault(Member m, String why, double weight) {
-        m.faults += weight;
-        // Connections may go without their server: one that has just answered is neither down nor restarted.
-        // For a primary, which nobody stands in for, resets say less still.
-        long just = weight < 1 && m == m.group.primary ? LATELY : JUST_HEARD;
-        boolean heard = why.equals("connections") && m.heardAt > now - just;
-        boolean away = why.equals("connections") || why.equals("probe");
-        m.lost |= m.faults >= FAULTS && weight >= 1 && !heard && away;
-        double limit = Math.max(FAULTS, Math.log(CHANCE) / Math.log(unanswered[m.zone]));
-        List<Member> group = m.group.members;
-        boolean most = !m.doubted && 2 * (group.stream().filter(this::resting).count() + 1) > group.size();
-        if (m.faults < limit || m.restUntil > now || most || heard) {
+    private void recordFault(MemberState member, String cause, double weight) {
+        member.faultScore += weight;
+        // Connections may break although their server is up: a server that has just answered is neither down nor
+        // restarted. Resets say even less about a primary, which no other server can replace.
+        long recentSpan = weight < 1 && member == member.group.primary ? RECENTLY_HEARD_NANOS : JUST_HEARD_NANOS;
+        boolean heardRecently = cause.equals("connections") && member.lastHeardAt > now - recentSpan;
+        boolean isUnreachable = cause.equals("connections") || cause.equals("probe");
+        member.mayHaveRestarted |= member.faultScore >= FAULT_LIMIT && weight >= 1 && !heardRecently && isUnreachable;
+        double limit =
+                Math.max(FAULT_LIMIT, Math.log(FALSE_SUSPICION_PROBABILITY) / Math.log(unansweredShares[member.zone]));
+        List<MemberState> group = member.group.members;
+        boolean tooManyEjected = !member.isSuspected
+                && 2 * (group.stream().filter(this::isEjected).count() + 1) > group.size();
+        if (member.faultScore < limit || member.ejectedUntil > now || tooManyEjected || heardRecently) {
             return;
         }
-        m.strikes = (int) Math.max(0, m.strikes - (now - m.restAt) / FORGET);
-        m.restAt = now;
-        m.erring = why.equals("errors");
-        m.doubted = true;
-        m.restUntil = now + (REST << Math.min(m.strikes++, REST_DOUBLINGS));
-        out.log("server rests: " + why);
+        member.ejectionCount =
+                (int) Math.max(0, member.ejectionCount - (now - member.ejectedAt) / EJECTION_EXPIRY_NANOS);
+        member.ejectedAt = now;
+        member.ejectedForErrors = cause.equals("errors");
+        member.isSuspected = true;
+        member.ejectedUntil =
+                now + (FIRST_EJECTION_NANOS << Math.min(member.ejectionCount++, EJECTION_DOUBLINGS_LIMIT));
+        // Operators search their logs for this prefix.
+        gateway.log("server rests: " + cause);
     }
 
-    /** At rest, or rested but, where probes are allowed, not yet shown well by a report. */
-    private boolean resting(Member m) {
-        return m.restUntil > now || (m.doubted && limits.probes());
+    /** Whether the server is ejected, or was and, where probes are permitted, has not yet reported well since. */
+    private boolean isEjected(MemberState member) {
+        return member.ejectedUntil > now || (member.isSuspected && limits.probes());
     }
 
-    /** By its report: a replica with many more waiting than at work, or any whose position stands still. */
-    private boolean sick(Member m) {
-        return m.still || (m != m.group.primary && reportedCrowd(m) > MISSED);
+    /**
+     * Whether the server's report is bad: its log position stands still, or it is a replica with many more requests
+     * waiting than in service.
+     */
+    private boolean isUnhealthy(MemberState member) {
+        return member.isPositionStuck
+                || (member != member.group.primary && estimatedQueueRatio(member) > SEVERE_DELAY_FACTOR);
     }
 
-    // ---- Cold servers ----
-
-    private boolean isCold(Member m) {
-        return m.coldSince != NONE && now - m.coldSince < rules.warmAfter();
+    private boolean isCold(MemberState member) {
+        return member.coldSince != NONE && now - member.coldSince < rules.warmAfter();
     }
 
-    private void cold(Member m, long since) {
-        m.coldSince = since;
-        m.coldAt = now;
-        m.slowStartTokens = random.nextDouble();
+    private void markCold(MemberState member, long startedAt) {
+        member.coldSince = startedAt;
+        member.slowStartFilledAt = now;
+        member.slowStartTokens = random.nextDouble();
     }
 
     /**
-     * Whether a server may take one more now. Guards rule 4: a cold one's budget grows as it warms. It belongs
-     * to all gateways: each takes the part that its own traffic is, by chance where that is under one request.
-     * What is asked of the gateway counts, not what it sends: were all thought cold, they would stay shut. But
-     * no more than warm servers answer here, each: in overload more is asked than any of them could bear.
+     * Whether slow start permits one more request to the server now. The budget of a cold server grows as it warms up
+     * (rule 4). It is shared by all gateways: each takes the share that its own traffic has, and at random where that
+     * is less than one request.
+     *
+     * <p>The rate of requests counts, not the rate of attempts sent: if all servers were thought cold, their budgets
+     * would otherwise stay closed. The rate is limited to what each warm server answers here, since under overload more
+     * is requested than any server could bear.
      */
-    private boolean slowStartAllows(Member m) {
-        if (!isCold(m)) {
+    private boolean slowStartAllows(MemberState member) {
+        if (!isCold(member)) {
             return true;
         }
-        double warmed = Math.max(0, (double) (now - m.coldSince) / rules.warmAfter());
-        double part = rules.coldFrom() + (1 - rules.coldFrom()) * warmed;
-        int sharing = 0, warm = 0;
-        for (Member x : members) {
-            sharing += listed(x) ? 1 : 0;
-            warm += listed(x) && !isCold(x) && x.heardAt > now - LATELY ? 1 : 0;
+        double warmUpProgress = Math.max(0, (double) (now - member.coldSince) / rules.warmAfter());
+        double budgetShare = rules.coldFrom() + (1 - rules.coldFrom()) * warmUpProgress;
+        int listedCount = 0;
+        int warmCount = 0;
+        for (MemberState other : members) {
+            listedCount += isListed(other) ? 1 : 0;
+            warmCount += isListed(other) && !isCold(other) && other.lastHeardAt > now - RECENTLY_HEARD_NANOS ? 1 : 0;
         }
-        double mine = asked.perSecond(now) / Math.max(1, sharing);
-        if (warm > 0) {
-            mine = Math.min(mine, warmAnswers.perSecond(now) / warm);
+        double ownRate = requestRate.perSecond(now) / Math.max(1, listedCount);
+        if (warmCount > 0) {
+            ownRate = Math.min(ownRate, warmAnswerRate.perSecond(now) / warmCount);
         }
-        double share = COLD_SHARE * rules.tipMultiple() * part * mine;
-        double most = Math.max(1, share * rules.tipAfter() / 1e9 / 2);
-        m.slowStartTokens = Math.min(Math.max(0, m.slowStartTokens) + share * (now - m.coldAt) / 1e9, most);
-        m.coldAt = now;
-        return m.slowStartTokens >= 1;
+        double tokensPerSecond = SLOW_START_BUDGET_SHARE * rules.tipMultiple() * budgetShare * ownRate;
+        double tokenLimit = Math.max(1, tokensPerSecond * rules.tipAfter() / 1e9 / 2);
+        member.slowStartTokens = Math.min(
+                Math.max(0, member.slowStartTokens) + tokensPerSecond * (now - member.slowStartFilledAt) / 1e9,
+                tokenLimit);
+        member.slowStartFilledAt = now;
+        return member.slowStartTokens >= 1;
     }
 
-    // ---- List and probes ----
-
     @Override
-    public void members(long at, ListKind kind, List<Gateway.Member> list) {
-        now = at;
-        if (!started) {
-            started = true;
-            out.timer(settings.tick(), LOOK_TOKEN);
-            tenants.start(now);
+    public void members(long currentTime, ListKind kind, List<Gateway.Member> entries) {
+        now = currentTime;
+        if (!hasStarted) {
+            hasStarted = true;
+            gateway.timer(settings.tick(), SWEEP_TOKEN);
+            tenantAllowances.start(now);
             if (settings.asked()) {
-                out.follow(true);
+                gateway.follow(true);
             }
         }
-        mayBeOld |= kind == ListKind.SILENT || kind == ListKind.FAILED;
+        listMayBeStale |= kind == ListKind.SILENT || kind == ListKind.FAILED;
         if (kind == ListKind.SILENT) {
             return;
         }
         if (kind == ListKind.FAILED) {
-            out.timer(listBackoff.next(now - listCalledAt, random), LIST_TOKEN);
+            gateway.timer(listBackoff.nextWait(now - listCalledAt, random), LIST_RETRY_TOKEN);
             return;
         }
         listBackoff.reset();
-        lists++;
-        list.forEach(this::entry);
-        mayBeOld = kind == ListKind.CACHED && !settings.asked();
+        listCount++;
+        entries.forEach(this::applyListEntry);
+        listMayBeStale = kind == ListKind.CACHED && !settings.asked();
         for (int i = members.size() - 1; i >= 0; i--) {
-            Member m = members.get(i);
-            if (kind == ListKind.FULL && m.lastList < lists) {
-                tell(m, m.draining, true);
+            MemberState member = members.get(i);
+            if (kind == ListKind.FULL && member.lastListNumber < listCount) {
+                applyListedState(member, member.isDraining, true);
             }
-            // Guards against members long replaced, which would take part in every count and every look.
-            if (m.missing && m.inFlight == 0 && (m.gone || now - Math.max(m.toldAt, m.heardAt) > KEPT)) {
-                byServer.remove(m.id);
+            // Members that were replaced long ago would otherwise take part in every count and every pass.
+            if (member.isMissing
+                    && member.inFlight == 0
+                    && (member.isGone
+                            || now - Math.max(member.departureListedAt, member.lastHeardAt)
+                                    > ABSENT_MEMBER_RETENTION_NANOS)) {
+                membersByServer.remove(member.serverId);
                 members.remove(i);
-                m.group.members.remove(m);
-                m.group.primary = m.group.primary == m ? null : m.group.primary;
+                member.group.members.remove(member);
+                member.group.primary = member.group.primary == member ? null : member.group.primary;
             }
         }
     }
 
     @Override
-    public void listMoved(long at) {
-        now = at;
-        mayBeOld = true;
+    public void listMoved(long currentTime) {
+        now = currentTime;
+        listMayBeStale = true;
         listBackoff.reset();
         if (settings.asked()) {
-            out.follow(true);
+            gateway.follow(true);
         }
     }
 
-    private void entry(Gateway.Member e) {
-        Member m = byServer.get(e.server());
-        if (m == null) {
-            m = new Member();
-            m.id = e.server();
-            m.group = group(e.group());
-            byServer.put(m.id, m);
-            members.add(m);
-            m.group.members.add(m);
-            m.group.members.sort(Comparator.comparingLong(x -> x.id));
+    /** Applies an entry of the list; a server that is draining stays so until it has restarted. */
+    private void applyListEntry(Gateway.Member entry) {
+        MemberState member = membersByServer.get(entry.server());
+        if (member == null) {
+            member = new MemberState();
+            member.serverId = entry.server();
+            member.group = findOrCreateGroup(entry.group());
+            membersByServer.put(member.serverId, member);
+            members.add(member);
+            member.group.members.add(member);
+            member.group.members.sort(Comparator.comparingLong(x -> x.serverId));
         }
-        m.zone = e.zone();
-        m.lastList = lists;
-        unanswered = m.zone < unanswered.length ? unanswered : Arrays.copyOf(unanswered, m.zone + 1);
-        boolean anew = e.startedAt() > m.startedAt;
-        if (anew) {
-            m.startedAt = e.startedAt();
-            cold(m, m.startedAt);
+        member.zone = entry.zone();
+        member.lastListNumber = listCount;
+        unansweredShares = member.zone < unansweredShares.length
+                ? unansweredShares
+                : Arrays.copyOf(unansweredShares, member.zone + 1);
+        boolean hasRestarted = entry.startedAt() > member.startedAt;
+        if (hasRestarted) {
+            member.startedAt = entry.startedAt();
+            markCold(member, member.startedAt);
         }
-        tell(m, e.state() == State.DRAINING || (m.draining && !anew), e.state() == State.GONE);
-        if (e.primary() && m.roleAt == NONE && m.group.primaryAt == NONE) {
-            m.group.primary = m;
+        applyListedState(
+                member,
+                entry.state() == State.DRAINING || (member.isDraining && !hasRestarted),
+                entry.state() == State.GONE);
+        if (entry.primary() && member.roleAt == NONE && member.group.primaryRoleAt == NONE) {
+            member.group.primary = member;
         }
     }
 
-    private void tell(Member m, boolean draining, boolean gone) {
-        m.toldAt = m.draining || m.missing ? m.toldAt : now - (mayBeOld ? rules.drainGrace() : 0);
-        m.draining = draining;
-        m.missing = gone;
-        m.gone = gone && rules.removalBinds();
+    private void applyListedState(MemberState member, boolean isDraining, boolean isGone) {
+        member.departureListedAt = member.isDraining || member.isMissing
+                ? member.departureListedAt
+                : now - (listMayBeStale ? rules.drainGrace() : 0);
+        member.isDraining = isDraining;
+        member.isMissing = isGone;
+        member.isGone = isGone && rules.removalBinds();
     }
 
     @Override
-    public void probed(long at, long server, long took, Result result, Report report) {
-        now = at;
-        Member m = byServer.get(server);
-        if (m == null) {
+    public void probed(long currentTime, long server, long elapsed, Result result, Report report) {
+        now = currentTime;
+        MemberState member = membersByServer.get(server);
+        if (member == null) {
             return;
         }
-        m.probing = false;
+        member.probePending = false;
         if (result == Result.OK) {
-            returned(m);
+            recordReachable(member);
             if (report != null) {
-                reported(m, report);
-                if (m.doubted && sick(m)) {
-                    fault(m, "report");
-                } else if (m.doubted && m.restUntil <= now) {
-                    m.doubted = false;
-                    m.faults /= 2;
+                recordReport(member, report);
+                if (member.isSuspected && isUnhealthy(member)) {
+                    recordFault(member, "report");
+                } else if (member.isSuspected && member.ejectedUntil <= now) {
+                    member.isSuspected = false;
+                    member.faultScore /= 2;
                 }
-                routeHeld(m.group);
+                routeHeldRequests(member.group);
             }
         } else {
-            fault(m, "probe");
+            recordFault(member, "probe");
         }
     }
 
-    /** Asks a server for its report: only where a request needs it, and not again before the last is old. */
-    private boolean ask(Member m, String why) {
-        if (!limits.probes() || m.probing || (m.probedAt != NONE && now - m.probedAt < PROBE_PAUSE)) {
-            return m.probing;
+    /**
+     * Probes a server: only where a request needs it, and not again shortly after the last probe. Returns whether a
+     * probe is pending.
+     */
+    private boolean requestProbe(MemberState member, String cause) {
+        if (!limits.probes()
+                || member.probePending
+                || (member.probedAt != NONE && now - member.probedAt < PROBE_INTERVAL_NANOS)) {
+            return member.probePending;
         }
-        m.probing = true;
-        m.probedAt = now;
-        out.count("probe", why);
-        out.probe(m.id);
+        member.probePending = true;
+        member.probedAt = now;
+        gateway.count("probe", cause);
+        gateway.probe(member.serverId);
         return true;
     }
 
     @Override
-    public void peer(long at, int from, byte[] message) {
-        now = at;
+    public void peer(long currentTime, int from, byte[] message) {
+        now = currentTime;
     }
 
-    // ---- The regular look at everything ----
-
-    private void look() {
-        for (Group g : List.copyOf(waiting)) { // of many groups most hold nothing
-            routeHeld(g);
-            if (g.primary == null || !reachable(g.primary)) {
-                seekPrimary(g);
+    /** Routes the held requests of all groups again and looks for primaries that are not known. */
+    private void sweepHeldRequests() {
+        // Most groups hold no requests.
+        for (GroupState group : List.copyOf(groupsWithHeldRequests)) {
+            routeHeldRequests(group);
+            if (group.primary == null || !takesWrites(group.primary)) {
+                searchForPrimary(group);
             }
         }
     }
 
-    private void routeHeld(Group g) {
-        List<Request> held = List.copyOf(g.held);
-        g.held.clear();
-        waiting.remove(g);
-        for (Request r : held) {
-            if (r.held) {
-                r.held = false;
-                route(r);
+    private void routeHeldRequests(GroupState group) {
+        List<RequestState> requests = List.copyOf(group.heldRequests);
+        group.heldRequests.clear();
+        groupsWithHeldRequests.remove(group);
+        for (RequestState request : requests) {
+            if (request.isHeld) {
+                request.isHeld = false;
+                routeRequest(request);
             }
         }
     }
 
-    // ---- Endings ----
-
-    /** The final answer for a request that is not served: a refusal where that is true, else a failure. */
-    private void giveUp(Request r, String why) {
-        out.count(r.kind.name(), why);
-        boolean refusable = r.kind.effect() == Effect.SAFE
-                || firstMaybe(r) == NONE
-                || (r.kind.effect() == Effect.KEYED && r.kind.scope() == Scope.ALL);
-        if (refusable) {
-            long wait = (long) (r.kind.aim() * (0.5 + random.nextDouble()));
-            out.refuse(r.id, limits.comeBack() ? Math.min(wait, limits.longestComeBack()) : 0);
+    /**
+     * Gives the final answer for a request that is not served: a refusal if a further try is harmless, else a failure.
+     */
+    private void rejectRequest(RequestState request, String cause) {
+        gateway.count(request.requestClass.name(), cause);
+        boolean isRefusable = request.requestClass.effect() == Effect.SAFE
+                || firstUncertainSendTime(request) == NONE
+                || (request.requestClass.effect() == Effect.KEYED && request.requestClass.scope() == Scope.ALL);
+        if (isRefusable) {
+            long wait = (long) (request.requestClass.aim() * (0.5 + random.nextDouble()));
+            gateway.refuse(request.id, limits.comeBack() ? Math.min(wait, limits.longestComeBack()) : 0);
         } else {
-            out.fail(r.id);
+            gateway.fail(request.id);
         }
-        end(r);
+        endRequest(request);
     }
 
-    /** The request is over: whatever is still out for it is called off. */
-    private void end(Request r) {
-        if (r.waiting == 0) {
-            byId.remove(r.id);
+    /** Ends the request and cancels its pending attempts. */
+    private void endRequest(RequestState request) {
+        if (request.pendingAttemptCount == 0) {
+            requestsById.remove(request.id);
         }
-        if (r.over) {
+        if (request.isOver) {
             return;
         }
-        r.over = true;
-        r.held = false;
-        if (r.group.scout == r) {
-            r.group.scout = null;
+        request.isOver = true;
+        request.isHeld = false;
+        if (request.group.searchingRequest == request) {
+            request.group.searchingRequest = null;
         }
-        callOff(r);
+        cancelPendingAttempts(request);
     }
 
-    private void callOff(Request r) {
-        for (int i = 0; i < r.sent && limits.cancel(); i++) {
-            if (!r.ended[i]) {
-                out.cancel(r.id, i);
+    private void cancelPendingAttempts(RequestState request) {
+        for (int i = 0; i < request.attemptCount && limits.cancel(); i++) {
+            if (!request.attemptEnded[i]) {
+                gateway.cancel(request.id, i);
             }
         }
     }
 
-    private Group group(int number) {
-        return byNumber.computeIfAbsent(number, n -> new Group());
+    private GroupState findOrCreateGroup(int number) {
+        return groupsByNumber.computeIfAbsent(number, n -> new GroupState());
     }
 }
--- a/router/src/main/java/stoatrill/Gateway.java
+++ b/router/src/main/java/stoatrill/Gateway.java
@@ -3,118 +3,125 @@
 import java.util.List;
 
 /**
- * What a gateway offers to {@link Decide}: the actions it carries out. {@link Events} is the other half,
- * what the gateway tells the module. The gateway owns the clock, the connections and the timers; the module
- * owns the decisions.
+ * The actions that a gateway carries out for the decision module, {@link Decide}. The gateway reports to the module
+ * through {@link Events}. The gateway owns the clock, the connections and the timers; the module makes the decisions.
  *
- * <p><b>Threading.</b> One module instance serves one gateway and is called by one thread at a time. Actions
- * are called from within an event; an action must not call an event back before that event has returned.
+ * <p><b>Threading.</b> One module instance serves one gateway and is called by one thread at a time. The module calls
+ * actions while it handles an event. An action must not deliver an event before the current one has returned.
  *
- * <p><b>Units.</b> Times and spans are nanoseconds. Times are on one clock that only goes forward. A server
- * is an opaque number which the gateway chooses and which stays the same when the server restarts.
+ * <p><b>Units.</b> Times and spans are nanoseconds. Times are on one clock that only moves forward. A server is an
+ * opaque number that the gateway chooses and that stays the same when the server restarts. A log position is the time
+ * on the same clock of the newest commit that it includes.
  */
 public interface Gateway {
 
-    /** A position that is not known: older than any other. */
+    /** An unknown log position, older than any other. */
     long NO_POSITION = Long.MIN_VALUE;
 
-    /** The receiver that stands for every peer in {@link #tell}. */
+    /** The receiver in {@link #tell} that addresses all peers. */
     int EVERY_PEER = -1;
 
     /**
-     * Starts an attempt of a request: the first, a further one, or a second copy. Attempts of a request are
-     * numbered 0, 1, 2 and so on in the order of these calls.
+     * Starts an attempt of a request: the first one, a retry, or a second copy. The attempts of a request are numbered
+     * from 0 in the order of these calls.
      *
-     * @param timeout after this the attempt ends as {@link Result#TIMEOUT}; 0: when the client stops waiting
+     * @param timeout span after which the attempt ends as {@link Result#TIMEOUT}; 0 for when the client stops waiting
      */
     void send(long request, long server, long timeout);
 
     /**
-     * Final answer: turned away, and trying again is harmless. {@code comeBack} is advice on when; 0 for none.
+     * Gives the final answer that the request is refused and that it is safe to try again.
+     *
+     * @param retryAfter span after which the client is advised to try again; 0 for no advice
      */
-    void refuse(long request, long comeBack);
+    void refuse(long request, long retryAfter);
 
-    /** Final answer: failed, with no promise about its effect. */
+    /** Gives the final answer that the request has failed. It may have had an effect. */
     void fail(long request);
 
-    /** Stops waiting for one attempt; its outcome still comes, mostly as {@link Result#CANCELLED}. */
+    /** Cancels one attempt. Its outcome is still reported, mostly as {@link Result#CANCELLED}. */
     void cancel(long request, int attempt);
 
-    /** Asks for {@link Events#timer} with this token after the span. Timers can't be taken back. */
-    void timer(long span, long token);
+    /** Schedules {@link Events#timer} with this token after the delay. A timer can't be cancelled. */
+    void timer(long delay, long token);
 
-    /** Checks a server, which costs it some work; {@link Events#probed} answers. */
+    /** Probes a server, which costs it some work. {@link Events#probed} reports the result. */
     void probe(long server);
 
-    /** Closes the gateway's idle connections to a server. */
+    /** Closes the idle connections of the gateway to a server. */
     void dropIdle(long server);
 
-    /** Sends a peer, or {@link #EVERY_PEER}, a short message that may be lost. */
+    /** Sends a short message, which may be lost, to a peer or to {@link #EVERY_PEER}. */
     void tell(int peer, byte[] message);
 
-    /** Asks for the changes of the list of servers from now on, or stops them. */
-    void follow(boolean on);
+    /** Starts or stops to watch the list of servers for changes. */
+    void follow(boolean enabled);
 
-    /** Asks for the whole list of servers once. */
+    /** Requests the whole list of servers once. */
     void fetch();
 
-    /** A line for the operators. */
+    /** Writes a log line for the operators. */
     void log(String line);
 
-    /** Something to be counted, as a subject and a cause, by who looks for what a fleet does in sum. */
-    default void count(String what, String why) {}
+    /** Counts an occurrence by subject and cause, for totals over a fleet. */
+    default void count(String subject, String cause) {}
 
-    /** What the gateway tells the module. Every call carries the clock, and the clock never goes back. */
+    /** The events that the gateway reports to the module. Each carries the current time, which never goes back. */
     interface Events {
 
         /**
-         * News of the list of servers. The first comes right after construction, as {@link ListKind#CACHED}.
+         * Reports the list of servers or a change of it. The first call comes right after construction, as
+         * {@link ListKind#CACHED}.
          *
-         * @param members all of the list, or only the changed entries for {@link ListKind#DELTA}; empty when the
-         *     call failed
+         * @param members the whole list, or only the changed entries for {@link ListKind#DELTA}; empty if the call
+         *     failed
          */
         void members(long now, ListKind kind, List<Member> members);
 
-        /** The list is to be had from another place; it is followed there only if asked for anew. */
+        /**
+         * Reports that the list has moved to another source. It is watched there only after a new call of
+         * {@link Gateway#follow}.
+         */
         void listMoved(long now);
 
         /**
-         * A request has arrived. From now on it is owed one final answer, before {@code deadline}.
+         * Reports a new request. It must get exactly one final answer before {@code deadline}.
          *
-         * @param id never comes twice
-         * @param key the session, where there is one; else 0
-         * @param group only servers of this group may serve it
-         * @param tokenAge for a session read where tokens are carried: how long before now the session's last
-         *     write was
-         *     committed; 0 if it has none
-         * @param repeat whether the client marked it as a repeat
-         * @param kind its class, as a place in {@link Settings#classes}
-         * @param tenant its tenant, as a place in {@link Settings#tenants}
+         * @param id unique among all requests
+         * @param session the session, or 0 if there is none
+         * @param groupNumber the group whose servers may serve the request
+         * @param tokenAge for a session read, where clients carry tokens: how long before now the last write of the
+         *     session was committed; 0 if it has none
+         * @param isRepeat whether the client marked the request as a repeat
+         * @param classIndex index of the request's class in {@link Settings#classes}
+         * @param tenantIndex index of the request's tenant in {@link Settings#tenants}
          */
         void request(
                 long now,
                 long id,
-                long key,
-                int group,
+                long session,
+                int groupNumber,
                 long deadline,
                 long tokenAge,
-                boolean repeat,
-                int kind,
-                int tenant);
+                boolean isRepeat,
+                int classIndex,
+                int tenantIndex);
 
         /**
-         * A streamed answer has begun: the attempt is the client's now, and neither time-out nor deadline apply.
+         * Reports that a streamed answer has begun. The attempt now belongs to the client; neither the timeout nor the
+         * deadline apply any more.
          */
         void begun(long now, long id, int attempt, long server);
 
         /**
-         * How an attempt ended; exactly one for each {@link Gateway#send}, also after the request is over.
+         * Reports how an attempt ended. There is exactly one call for each {@link Gateway#send}, even after the request
+         * is over.
          *
-         * @param took from the send until now
-         * @param over whether the request is over, by this outcome or before it
-         * @param position up to when the server had applied the log, or the commit of a write that was served;
-         *     {@link #NO_POSITION} if not told
-         * @param role what the answer says of the server's role
+         * @param elapsed span from the send until now
+         * @param isRequestOver whether the request is over, through this outcome or before it
+         * @param position the position up to which the server has applied the log, or the commit of a write that was
+         *     served; {@link #NO_POSITION} if not known
+         * @param role what the answer shows of the server's role
          * @param report the server's report on itself, or null
          */
         void outcome(
@@ -123,49 +130,49 @@
                 int attempt,
                 long server,
                 Result result,
-                long took,
-                boolean over,
+                long elapsed,
+                boolean isRequestOver,
                 long position,
                 Role role,
                 Report report);
 
-        /** The client has gone; the request is over, and attempts still out still get their outcome. */
+        /** Reports that the client has left. The request is over; pending attempts still get their outcome. */
         void left(long now, long id);
 
-        /** A timer is due. */
+        /** Reports that a timer has expired. */
         void timer(long now, long token);
 
-        /** How a probe ended; {@code report} may be null. */
-        void probed(long now, long server, long took, Result result, Report report);
+        /** Reports how a probe ended; {@code report} may be null. */
+        void probed(long now, long server, long elapsed, Result result, Report report);
 
-        /** A message from a peer. */
+        /** Delivers a message from a peer. */
         void peer(long now, int from, byte[] message);
     }
 
-    /** How an attempt or a probe ended. */
+    /** The result of an attempt or a probe. */
     enum Result {
-        /** Served. */
+        /** The server served the request. */
         OK(true),
-        /** The server answered with an error; there may have been an effect. */
+        /** The server answered with an error; the request may have had an effect. */
         ERROR(false),
-        /** Turned away unseen. */
+        /** The server refused the attempt as full, without running it. */
         FULL(true),
-        /** No answer in time; it may have run, and may still run. */
+        /** No answer arrived in time; the request may have run and may still run. */
         TIMEOUT(false),
-        /** What came can't be read, so it may have run. */
+        /** The answer was malformed; the request may have run. */
         SPOILT(false),
-        /** No connection to be had. */
+        /** No connection could be established. */
         CONNECT_FAILED(true),
-        /** The connection broke while the attempt was out; it may have run. */
+        /** The connection broke during the attempt; the request may have run. */
         RESET(false),
-        /** Called off; it may have run. */
+        /** The attempt was cancelled; the request may have run. */
         CANCELLED(false),
-        /** Never sent. */
+        /** The attempt was never sent. */
         MOOT(true),
-        /** Sent back untouched: a write at a replica, or a read where the server is too far behind. */
+        /** The server refused without running it: a write at a replica, or a read for which its data is too old. */
         MISS(true);
 
-        /** True if the outcome settles what happened: it was served, or it is proved that it never ran. */
+        /** Whether the effect is certain: the request was served, or it is proven that it did not run. */
         public final boolean certain;
 
         Result(boolean certain) {
@@ -173,7 +180,7 @@
         }
     }
 
-    /** What is said of a server's place in its group. */
+    /** The role of a server in its group, as far as known. */
     enum Role {
         UNKNOWN,
         PRIMARY,
@@ -181,9 +188,10 @@
     }
 
     /**
-     * What kind of list {@link Events#members} brings. The last two bring none. FAILED: the call failed, and nothing
-     * is followed until asked for anew; SILENT: a watch fell silent and the gateway opens it anew by itself. What
-     * comes next may have counted as told before.
+     * The kind of list that {@link Events#members} reports. FAILED and SILENT carry no list. FAILED: the call failed,
+     * and the list is not watched until the module requests it again. SILENT: a watch fell silent, and the gateway
+     * reopens it on its own. After these, the changes that the next list brings may count as known from an earlier time
+     * on.
      */
     enum ListKind {
         DELTA,
@@ -193,14 +201,14 @@
         SILENT
     }
 
-    /** What the list says of a server. */
+    /** The state of a server in the list. */
     enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** How new the data of a class must be, or that it writes. */
+    /** How new the data must be that a read of a class sees, or that the class writes. */
     enum Need {
         WRITE,
         FRESH,
@@ -209,14 +217,14 @@
         ANY
     }
 
-    /** Whether a request may run twice. */
+    /** Whether a request may run more than once. A keyed request may where servers drop repeats of its key. */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Which servers drop a repeat with the same key. */
+    /** The servers that drop a repeat with the same key. */
     enum Scope {
         ALL,
         ZONE,
@@ -224,8 +232,7 @@
     }
 
     /**
-     * What a server does with a read that it is too far behind for: answer, turn it away, or wait and turn it
-     * away.
+     * What a server does with a read for which its data is too old: answer it, refuse it, or wait and then refuse it.
      */
     enum Check {
         NONE,
@@ -233,7 +240,7 @@
         WAIT
     }
 
-    /** How the list tells which member is the primary. */
+    /** How the list shows which member is the primary: not at all, with a delay, or as of the start. */
     enum ListedRole {
         NONE,
         LATE,
@@ -241,17 +248,31 @@
     }
 
     /**
-     * An entry of the list. {@code startedAt} is 0 for long ago; {@code size} compares servers, with no unit.
+     * An entry of the list of servers.
+     *
+     * @param size relative capacity, without a unit
+     * @param startedAt when the server started; 0 for long ago
      */
     record Member(
             long server, int group, int zone, int model, double size, long startedAt, boolean primary, State state) {}
 
     /**
-     * A server's report on itself, some time old. {@code waiting} and {@code held} are negative if not told.
+     * A server's report on itself, which is some time old.
+     *
+     * @param waiting number of requests queued at the server; negative if not reported
+     * @param held number of requests at the server, queued or in service; negative if not reported
      */
     record Report(long position, Role role, double waiting, double held) {}
 
-    /** A class of requests. {@code bound} is how old data may be at the send, for {@link Need#BOUNDED}. */
+    /**
+     * A class of requests.
+     *
+     * @param aim target latency; an answer within it has full worth
+     * @param giveUp span after which clients stop waiting
+     * @param lateWorth worth of an answer after the aim
+     * @param bound how old the data may be when the attempt is sent, for {@link Need#BOUNDED}
+     * @param repeatWindow span in which servers drop repeats with the same key
+     */
     record RequestClass(
             String name,
             long aim,
@@ -265,10 +286,20 @@
             long repeatWindow,
             boolean streamed) {}
 
-    /** A tenant and the rate, over all gateways, up to which its requests count in full. */
+    /**
+     * A tenant.
+     *
+     * @param allowance requests a second, over all gateways, up to which its requests have full worth
+     */
     record Tenant(String name, double allowance) {}
 
-    /** What the site permits. */
+    /**
+     * What the site permits.
+     *
+     * @param comeBack whether a refusal may advise when to try again
+     * @param attempts the most attempts of a request
+     * @param longestComeBack the longest span that such advice may name
+     */
     record Limits(
             boolean cancel,
             boolean probes,
@@ -278,7 +309,18 @@
             int attempts,
             long longestComeBack) {}
 
-    /** The figures of the rules that hold where a gateway runs. */
+    /**
+     * The parameters of the rules that apply where a gateway runs.
+     *
+     * @param answerSlack safety margin before the end of a repeat window
+     * @param askWithin span after a list call from which the changes that it should show count as known
+     * @param drainGrace span after the news of a drain in which a server may still get attempts
+     * @param coldFrom share of its full budget that a cold server starts with
+     * @param warmAfter span after which a started server is warm
+     * @param tipMultiple multiple of a cold server's share of the traffic at which it is overloaded
+     * @param tipAfter span of such load after which a cold server is overloaded
+     * @param removalBinds whether a server that is off the list must get no attempts
+     */
     record Rules(
             long answerSlack,
             long askWithin,
@@ -290,8 +332,12 @@
             boolean removalBinds) {}
 
     /**
-     * How the replicas and their answers behave. {@code carried}: a session's read brings the age of its last
-     * write.
+     * How the replicas and their answers behave.
+     *
+     * @param holdsFor how long a server waits for newer data, for {@link Check#WAIT}
+     * @param positionsTold whether answers show log positions
+     * @param carried whether a session's read carries the age of the session's last write
+     * @param reportsInline whether reports come with answers
      */
     record Replication(
             Check check,
@@ -301,7 +347,16 @@
             ListedRole listedRole,
             boolean reportsInline) {}
 
-    /** All that a gateway is told at its start. {@code asked}: the list comes only when asked for. */
+    /**
+     * The settings of a gateway, given at its start.
+     *
+     * @param me number of this gateway
+     * @param gateways number of gateways
+     * @param zone zone of this gateway
+     * @param tick granularity of the gateway's timers
+     * @param asked whether the list comes only on request
+     * @param overShareWorth factor on the worth of requests beyond a tenant's allowance
+     */
     record Settings(
             int me,
             int gateways,
--- a/router/src/main/java/stoatrill/contract/Accounts.java
+++ b/router/src/main/java/stoatrill/contract/Accounts.java
@@ -1,121 +1,129 @@
 package stoatrill.contract;
 
 /**
- * What every team has spent: admits a request against its own contract and those of the teams above it, all or
- * none. Nothing is allocated on the way. Times are in nanoseconds and may not go back; not to be shared between
- * threads.
+ * What every team has spent. A request is admitted by its team's contract and those of all teams above it, or is
+ * charged to none of them. Admission allocates no memory. Times are in nanoseconds and must not go back. Not
+ * thread-safe.
  */
 public final class Accounts {
-    /** The answer to a request that was admitted; anything else is the time to come back. */
+    /** The result for an admitted request; any other result is the time at which to try again. */
     public static final long ADMITTED = Long.MIN_VALUE;
 
     private final Contracts contracts;
-    private final int[] parents;
-    private final RateBucket[] rates;
-    private final WindowBudget[] budgets;
-    private final boolean[] whenShort;
+    private final int[] parentIndexes;
+    private final RateBucket[] rateBuckets;
+    private final WindowBudget[] windowBudgets;
+    private final boolean[] limitedOnlyWhenShort;
 
-    /** Accounts with nothing spent. */
+    /** Creates accounts with nothing spent. */
     public Accounts(Contracts contracts, long now) {
         this.contracts = contracts;
-        int n = contracts.all().size();
-        parents = new int[n];
-        rates = new RateBucket[n];
-        budgets = new WindowBudget[n];
-        whenShort = new boolean[n];
-        for (int i = 0; i < n; i++) {
-            Contract c = contracts.all().get(i);
-            parents[i] = c.parent();
-            rates[i] = c.perDay() > 0 ? new RateBucket(c.perDay(), c.burst(), now) : null;
-            budgets[i] = c.budget() > 0 ? new WindowBudget(c.budget(), c.window(), now) : null;
-            whenShort[i] = c.over() == Contract.Over.WHEN_SHORT;
+        int teamCount = contracts.all().size();
+        parentIndexes = new int[teamCount];
+        rateBuckets = new RateBucket[teamCount];
+        windowBudgets = new WindowBudget[teamCount];
+        limitedOnlyWhenShort = new boolean[teamCount];
+        for (int i = 0; i < teamCount; i++) {
+            Contract contract = contracts.all().get(i);
+            parentIndexes[i] = contract.parent();
+            rateBuckets[i] = contract.perDay() > 0 ? new RateBucket(contract.perDay(), contract.burst(), now) : null;
+            windowBudgets[i] =
+                    contract.budget() > 0 ? new WindowBudget(contract.budget(), contract.window(), now) : null;
+            limitedOnlyWhenShort[i] = contract.over() == Contract.Over.WHEN_SHORT;
         }
     }
 
-    /** Accounts under new contracts; what teams of the same path have spent goes on counting. */
-    public Accounts(Contracts contracts, Accounts before, long now) {
+    /** Creates accounts under new contracts. Teams with the same path keep what they have spent. */
+    public Accounts(Contracts contracts, Accounts previous, long now) {
         this(contracts, now);
-        for (int i = 0; i < parents.length; i++) {
-            Integer old = before.exactly(contracts.all().get(i).path());
-            if (old != null && rates[i] != null && before.rates[old] != null) {
-                rates[i].follow(before.rates[old], now);
+        for (int i = 0; i < parentIndexes.length; i++) {
+            Integer oldIndex = previous.exactIndex(contracts.all().get(i).path());
+            if (oldIndex != null && rateBuckets[i] != null && previous.rateBuckets[oldIndex] != null) {
+                rateBuckets[i].carryOver(previous.rateBuckets[oldIndex], now);
             }
-            if (old != null && budgets[i] != null && before.budgets[old] != null) {
-                budgets[i].follow(before.budgets[old], now);
+            if (oldIndex != null && windowBudgets[i] != null && previous.windowBudgets[oldIndex] != null) {
+                windowBudgets[i].carryOver(previous.windowBudgets[oldIndex], now);
             }
         }
     }
 
-    private Integer exactly(String path) {
-        int place = contracts.place(path);
-        return place >= 0 && contracts.all().get(place).path().equals(path) ? place : null;
+    private Integer exactIndex(String path) {
+        int index = contracts.place(path);
+        return index >= 0 && contracts.all().get(index).path().equals(path) ? index : null;
     }
 
     /**
-     * Admits and charges a request of a team, or charges nothing and tells when there will be room.
+     * Admits and charges a request of a team, or charges nothing and returns when there will be room.
      *
-     * @param team its place in {@link Contracts#all}
-     * @param groupShort whether the group that is to serve it is short of room
-     * @return {@link #ADMITTED}, or the first time at which every account in its way has room
+     * @param team index of the team in {@link Contracts#all}
+     * @param groupShort whether the group that is to serve the request is short of capacity
+     * @return {@link #ADMITTED}, or the first time at which all accounts concerned have room
      */
     public long admit(int team, boolean groupShort, long now) {
-        long ready = ADMITTED;
-        for (int t = team; t >= 0; t = parents[t]) {
-            if (counts(t, groupShort) && !rates[t].has(now)) {
-                ready = Math.max(ready, rates[t].readyAt(now));
+        long readyAt = ADMITTED;
+        for (int ancestor = team; ancestor >= 0; ancestor = parentIndexes[ancestor]) {
+            if (appliesRate(ancestor, groupShort) && !rateBuckets[ancestor].hasRoom(now)) {
+                readyAt = Math.max(readyAt, rateBuckets[ancestor].readyAt(now));
             }
-            if (budgets[t] != null && !budgets[t].has(now)) {
-                ready = Math.max(ready, budgets[t].readyAt(now));
+            if (windowBudgets[ancestor] != null && !windowBudgets[ancestor].hasRoom(now)) {
+                readyAt = Math.max(readyAt, windowBudgets[ancestor].readyAt(now));
             }
         }
-        if (ready == ADMITTED) {
+        if (readyAt == ADMITTED) {
             charge(team, groupShort, now);
         }
-        return ready;
+        return readyAt;
     }
 
-    /** A rate that holds only while the group is short is neither looked at nor charged while it is not. */
-    private boolean counts(int team, boolean groupShort) {
-        return rates[team] != null && (groupShort || !whenShort[team]);
+    /**
+     * Whether the rate of a team applies. A rate that limits only while the group is short is neither checked nor
+     * charged otherwise.
+     */
+    private boolean appliesRate(int team, boolean groupShort) {
+        return rateBuckets[team] != null && (groupShort || !limitedOnlyWhenShort[team]);
     }
 
     /**
-     * Charges one more attempt of a request that was admitted: never refused, so it may leave an account in debt.
-     * {@code groupShort} is as it was at the admission.
+     * Charges a further attempt of an admitted request. It is never refused, so an account may go into debt.
+     *
+     * @param groupShort the value at admission
      */
     public void charge(int team, boolean groupShort, long now) {
-        for (int t = team; t >= 0; t = parents[t]) {
-            if (counts(t, groupShort)) {
-                rates[t].has(now);
-                rates[t].take();
+        for (int ancestor = team; ancestor >= 0; ancestor = parentIndexes[ancestor]) {
+            if (appliesRate(ancestor, groupShort)) {
+                rateBuckets[ancestor].hasRoom(now);
+                rateBuckets[ancestor].take();
             }
-            if (budgets[t] != null) {
-                budgets[t].has(now);
-                budgets[t].take();
+            if (windowBudgets[ancestor] != null) {
+                windowBudgets[ancestor].hasRoom(now);
+                windowBudgets[ancestor].take();
             }
         }
     }
 
     /**
-     * Gives back what was charged at a time for a request that was refused elsewhere or never ran; {@code groupShort}
-     * is as it was at the charge.
+     * Refunds a charge for a request that was refused elsewhere or never ran.
+     *
+     * @param groupShort the value at the charge
+     * @param chargedAt the time of the charge
      */
-    public void giveBack(int team, boolean groupShort, long charged) {
-        for (int t = team; t >= 0; t = parents[t]) {
-            if (counts(t, groupShort)) {
-                rates[t].giveBack();
+    public void giveBack(int team, boolean groupShort, long chargedAt) {
+        for (int ancestor = team; ancestor >= 0; ancestor = parentIndexes[ancestor]) {
+            if (appliesRate(ancestor, groupShort)) {
+                rateBuckets[ancestor].refund();
             }
-            if (budgets[t] != null) {
-                budgets[t].giveBack(charged);
+            if (windowBudgets[ancestor] != null) {
+                windowBudgets[ancestor].refund(chargedAt);
             }
         }
     }
 
-    /** How many requests a team has spent of the budget of its window; 0 if it has none. */
+    /** Returns how many requests a team has spent of its budget in the current window; 0 if it has no budget. */
     public long spent(int team, long now) {
-        return budgets[team] == null ? 0 : budgets[team].spent(now);
+        return windowBudgets[team] == null ? 0 : windowBudgets[team].spentBySlot(now);
     }
 
+    /** Returns the contracts of these accounts. */
     public Contracts contracts() {
         return contracts;
     }
--- a/router/src/main/java/stoatrill/contract/Contract.java
+++ b/router/src/main/java/stoatrill/contract/Contract.java
@@ -1,25 +1,25 @@
 package stoatrill.contract;
 
 /**
- * What a team, or a part of one, was promised.
+ * The contract of a team or a sub-team.
  *
- * @param path its name with those of the teams above it, joined by dots
- * @param parent its place in {@link Contracts#all} of the team above it; negative if there is none
- * @param share of the primary's work, in parts of a million
- * @param perDay requests a day that it may ask for, 0 for no limit
- * @param burst requests that it may ask for at once
- * @param budget requests in any window of {@code window} nanoseconds, 0 for no limit
- * @param worth what its requests count, in thousandths
- * @param over what happens beyond the rate
+ * @param path name of the team, prefixed by those of the teams above it, joined by dots
+ * @param parent index of the team above it in {@link Contracts#all}; negative if there is none
+ * @param share promised share of the primary's work, in parts per million
+ * @param perDay requests a day that the team may send; 0 for no limit
+ * @param burst requests that the team may send at once
+ * @param budget requests in any window of {@code window} nanoseconds; 0 for no limit
+ * @param worth worth of its requests, in thousandths
+ * @param over what happens to requests beyond the rate
  */
 public record Contract(
         String path, int parent, long share, long perDay, long burst, long budget, long window, long worth, Over over) {
 
     /** What happens to a request beyond its team's rate. */
     public enum Over {
-        /** It is refused, with a time to come back. */
+        /** The request is refused, with a time at which to try again. */
         REFUSE,
-        /** It is refused only while the group is short. */
+        /** The request is refused only while the group is short of capacity. */
         WHEN_SHORT
     }
 }
--- a/router/src/main/java/stoatrill/contract/Contracts.java
+++ b/router/src/main/java/stoatrill/contract/Contracts.java
@@ -14,193 +14,215 @@
 import stoatrill.settings.Word;
 
 /**
- * All contracts of a file, parents before their parts, checked as a whole. Immutable.
+ * All contracts of a file, parents before their sub-teams, validated as a whole. Immutable.
  *
- * <p>A file has blocks {@code team NAME}, which may stand in each other, with {@code share}, {@code rate},
- * {@code burst}, {@code budget N per SPAN}, {@code worth} and {@code over refuse|when-short}; and {@code unknown
- * refuse}, or {@code unknown team NAME}, for those who name no team of it.
+ * <p>A file contains blocks {@code team NAME}, which may be nested, with {@code share}, {@code rate}, {@code burst},
+ * {@code budget N per SPAN}, {@code worth} and {@code over refuse|when-short}; and {@code unknown refuse} or
+ * {@code unknown team NAME} for requests that name no team of the file.
  */
 public final class Contracts {
-    private static final long WHOLE = 1_000_000L;
-    private static final long DAY = 86_400_000_000_000L;
-    private static final int DEEPEST = 8;
+    /** The whole of the primary's work, in parts per million. */
+    private static final long WHOLE_SHARE = 1_000_000L;
+
+    private static final long DAY_NANOS = 86_400_000_000_000L;
+    /** The largest number of teams nested in each other. */
+    private static final int TEAM_DEPTH_LIMIT = 8;
 
     private final List<Contract> all;
-    private final Map<String, Integer> places = new HashMap<>();
-    private final int unknown;
+    private final Map<String, Integer> indexByPath = new HashMap<>();
+    private final int unknownTeamIndex;
 
-    private Contracts(List<Contract> all, int unknown) {
+    private Contracts(List<Contract> all, int unknownTeamIndex) {
         this.all = List.copyOf(all);
-        this.unknown = unknown;
+        this.unknownTeamIndex = unknownTeamIndex;
         for (int i = 0; i < all.size(); i++) {
-            places.put(all.get(i).path(), i);
+            indexByPath.put(all.get(i).path(), i);
         }
     }
 
-    /** Reads a text; {@code file} is named in errors only, and all of them are told at once. */
+    /**
+     * Parses the text of a file and reports all errors at once.
+     *
+     * @param file name that is used in error messages only
+     */
     public static Contracts parse(String file, String text) throws SettingsException {
         Block block = SettingsFile.parse(file, text);
         Problems problems = new Problems();
-        Reader in = new Reader(block, problems);
+        Reader reader = new Reader(block, problems);
         List<Contract> all = new ArrayList<>();
-        Map<String, Directive> where = new HashMap<>();
-        teams(in, in.all("team"), -1, WHOLE, "the primary", all, where, 1);
-        int unknown = -1;
-        Directive d = in.one("unknown");
-        if (d != null) {
-            List<Word> words = in.words(d, 1, 2, "unknown refuse, or unknown team NAME");
+        Map<String, Directive> directivesByPath = new HashMap<>();
+        parseTeams(reader, reader.all("team"), -1, WHOLE_SHARE, "the primary", all, directivesByPath, 1);
+        int unknownTeamIndex = -1;
+        Directive directive = reader.one("unknown");
+        if (directive != null) {
+            List<Word> words = reader.words(directive, 1, 2, "unknown refuse, or unknown team NAME");
             if (words != null && words.size() == 2 && words.get(0).text().equals("team")) {
                 for (int i = 0; i < all.size(); i++) {
-                    unknown = all.get(i).path().equals(words.get(1).text()) ? i : unknown;
+                    unknownTeamIndex = all.get(i).path().equals(words.get(1).text()) ? i : unknownTeamIndex;
                 }
-                if (unknown < 0) {
-                    in.wrong(
+                if (unknownTeamIndex < 0) {
+                    reader.wrong(
                             words.get(1).place(),
                             "there is no team \"" + words.get(1).text()
                                     + "\"; name one of this file, with its parents joined by dots");
                 }
             } else if (words != null
                     && !(words.size() == 1 && words.get(0).text().equals("refuse"))) {
-                in.wrong(d.place(), "\"unknown\" can't be read; write: unknown refuse, or unknown team NAME");
+                reader.wrong(
+                        directive.place(), "\"unknown\" can't be read; write: unknown refuse, or unknown team NAME");
             }
         }
-        in.done();
+        reader.done();
         problems.check();
-        return new Contracts(all, unknown);
+        return new Contracts(all, unknownTeamIndex);
     }
 
-    private static void teams(
-            Reader in,
+    private static void parseTeams(
+            Reader reader,
             List<Directive> teams,
             int parent,
-            long promised,
-            String by,
+            long availableShare,
+            String owner,
             List<Contract> all,
-            Map<String, Directive> where,
+            Map<String, Directive> directivesByPath,
             int depth) {
-        long given = 0;
-        for (Directive d : teams) {
-            List<Word> words = in.words(d, 1, 1, "team NAME {");
+        long promisedShare = 0;
+        for (Directive directive : teams) {
+            List<Word> words = reader.words(directive, 1, 1, "team NAME {");
             if (words == null) {
                 continue;
             }
             String name = words.get(0).text();
-            if (d.block() == null || !name.matches("[A-Za-z0-9_-]{1,63}") || depth > DEEPEST) {
-                in.wrong(
-                        d.place(),
-                        d.block() == null
+            if (directive.block() == null || !name.matches("[A-Za-z0-9_-]{1,63}") || depth > TEAM_DEPTH_LIMIT) {
+                reader.wrong(
+                        directive.place(),
+                        directive.block() == null
                                 ? "\"team\" opens a block; end the line with '{'"
-                                : depth > DEEPEST
-                                        ? "teams stand in each other more than " + DEEPEST
+                                : depth > TEAM_DEPTH_LIMIT
+                                        ? "teams stand in each other more than " + TEAM_DEPTH_LIMIT
                                                 + " deep; put this one further up"
                                         : "\"" + name
                                                 + "\" is no name; write letters, digits, '-' and '_', 63 at most");
                 continue;
             }
             String path = parent < 0 ? name : all.get(parent).path() + "." + name;
-            Directive before = where.putIfAbsent(path, d);
-            if (before != null) {
-                in.wrong(
+            Directive earlier = directivesByPath.putIfAbsent(path, directive);
+            if (earlier != null) {
+                reader.wrong(
                         words.get(0).place(),
                         "team \"" + path + "\" is already in line "
-                                + before.place().line() + "; rename one of them");
+                                + earlier.place().line() + "; rename one of them");
             }
-            Reader inside = in.inside(d.block());
-            Contract c = contract(inside, path, parent);
-            given += c.share();
-            if (given > promised) {
-                in.wrong(
-                        d.place(),
-                        "with this team " + Quantity.SHARE.format(given) + " of " + by + " are promised, and there are "
-                                + Quantity.SHARE.format(promised) + "; lower a share");
-                given = Long.MIN_VALUE / 2; // said once
+            Reader blockReader = reader.inside(directive.block());
+            Contract contract = parseContract(blockReader, path, parent);
+            promisedShare += contract.share();
+            if (promisedShare > availableShare) {
+                reader.wrong(
+                        directive.place(),
+                        "with this team " + Quantity.SHARE.format(promisedShare) + " of " + owner
+                                + " are promised, and there are " + Quantity.SHARE.format(availableShare)
+                                + "; lower a share");
+                promisedShare = Long.MIN_VALUE / 2; // so that the error is reported only once
             }
             if (parent >= 0
                     && all.get(parent).perDay() > 0
-                    && c.perDay() > all.get(parent).perDay()) {
-                in.wrong(
-                        d.place(),
-                        "\"" + path + "\" is promised " + Quantity.RATE.format(c.perDay()) + ", and the team above it "
+                    && contract.perDay() > all.get(parent).perDay()) {
+                reader.wrong(
+                        directive.place(),
+                        "\"" + path + "\" is promised " + Quantity.RATE.format(contract.perDay())
+                                + ", and the team above it "
                                 + Quantity.RATE.format(all.get(parent).perDay()) + "; lower this rate");
             }
-            int place = all.size();
-            all.add(c);
-            teams(inside, inside.all("team"), place, c.share(), "team \"" + path + "\"", all, where, depth + 1);
-            inside.done();
+            int index = all.size();
+            all.add(contract);
+            parseTeams(
+                    blockReader,
+                    blockReader.all("team"),
+                    index,
+                    contract.share(),
+                    "team \"" + path + "\"",
+                    all,
+                    directivesByPath,
+                    depth + 1);
+            blockReader.done();
         }
     }
 
-    private static Contract contract(Reader in, String path, int parent) {
-        long perDay = in.quantity("rate", Quantity.RATE, 1, Long.MAX_VALUE / 4, 0);
-        long second = Math.max(1, perDay / 86_400);
-        long burst = in.quantity("burst", Quantity.COUNT, 1, 1_000_000_000, Math.min(1_000_000_000, second));
-        if (perDay > 0 && !RateBucket.fits(perDay, burst)) {
-            in.wrong(
-                    in.one("rate").place(),
+    private static Contract parseContract(Reader reader, String path, int parent) {
+        long perDay = reader.quantity("rate", Quantity.RATE, 1, Long.MAX_VALUE / 4, 0);
+        long perSecond = Math.max(1, perDay / 86_400);
+        long burst = reader.quantity("burst", Quantity.COUNT, 1, 1_000_000_000, Math.min(1_000_000_000, perSecond));
+        if (perDay > 0 && !RateBucket.canCountExactly(perDay, burst)) {
+            reader.wrong(
+                    reader.one("rate").place(),
                     "this rate can't be counted exactly with a burst of " + burst
                             + "; round the rate to whole requests a second or minute, or lower the burst");
             perDay = 0;
         }
         long budget = 0;
-        long window = DAY;
-        Directive d = in.one("budget");
-        if (d != null) {
-            List<Word> words = in.words(d, 3, 3, "budget 100000 per 1h");
+        long window = DAY_NANOS;
+        Directive directive = reader.one("budget");
+        if (directive != null) {
+            List<Word> words = reader.words(directive, 3, 3, "budget 100000 per 1h");
             if (words != null && words.get(1).text().equals("per")) {
-                budget = in.quantity(words.get(0), Quantity.COUNT, 1, 1_000_000_000_000L, 1);
-                window = in.quantity(words.get(2), Quantity.SPAN, 1_000_000_000L, 366 * DAY, DAY);
+                budget = reader.quantity(words.get(0), Quantity.COUNT, 1, 1_000_000_000_000L, 1);
+                window = reader.quantity(words.get(2), Quantity.SPAN, 1_000_000_000L, 366 * DAY_NANOS, DAY_NANOS);
             } else if (words != null) {
-                in.wrong(d.place(), "\"budget\" can't be read; write: budget 100000 per 1h");
+                reader.wrong(directive.place(), "\"budget\" can't be read; write: budget 100000 per 1h");
             }
         }
         return new Contract(
                 path,
                 parent,
-                in.quantity("share", Quantity.SHARE, 0, WHOLE, 0),
+                reader.quantity("share", Quantity.SHARE, 0, WHOLE_SHARE, 0),
                 perDay,
                 burst,
                 budget,
                 window,
-                in.quantity("worth", Quantity.NUMBER, 0, 1_000_000_000, 1000),
-                in.word("over", Contract.Over.class, Contract.Over.REFUSE));
+                reader.quantity("worth", Quantity.NUMBER, 0, 1_000_000_000, 1000),
+                reader.word("over", Contract.Over.class, Contract.Over.REFUSE));
     }
 
     /**
-     * What one of so many routers enforces, so that the parts never add up to more than was promised; but each lets at
-     * least one request through at once, so bursts smaller than the number of routers add up to that number.
+     * Returns the contracts that one of several routers enforces, so that all of them together never admit more than
+     * was promised. Each router admits at least one request at once, so bursts smaller than the number of routers add
+     * up to that number.
      */
-    public Contracts part(int routers) {
-        if (routers <= 1) {
+    public Contracts part(int routerCount) {
+        if (routerCount <= 1) {
             return this;
         }
         List<Contract> parts = new ArrayList<>();
-        for (Contract c : all) {
-            long perDay = c.perDay() == 0 ? 0 : Math.max(1, c.perDay() / routers);
-            long burst = Math.max(1, c.burst() / routers);
-            while (perDay > 1 && !RateBucket.fits(perDay, burst)) {
-                perDay--; // a little less that can be counted exactly
+        for (Contract contract : all) {
+            long perDay = contract.perDay() == 0 ? 0 : Math.max(1, contract.perDay() / routerCount);
+            long burst = Math.max(1, contract.burst() / routerCount);
+            while (perDay > 1 && !RateBucket.canCountExactly(perDay, burst)) {
+                perDay--; // the next lower rate that can be counted exactly
             }
             parts.add(new Contract(
-                    c.path(),
-                    c.parent(),
-                    c.share(),
+                    contract.path(),
+                    contract.parent(),
+                    contract.share(),
                     perDay,
                     burst,
-                    c.budget() == 0 ? 0 : Math.max(1, c.budget() / routers),
-                    c.window(),
-                    c.worth(),
-                    c.over()));
+                    contract.budget() == 0 ? 0 : Math.max(1, contract.budget() / routerCount),
+                    contract.window(),
+                    contract.worth(),
+                    contract.over()));
         }
-        return new Contracts(parts, unknown);
+        return new Contracts(parts, unknownTeamIndex);
     }
 
-    /** Parents before their parts. */
+    /** Returns all contracts, parents before their sub-teams. */
     public List<Contract> all() {
         return all;
     }
 
-    /** The place of a team by its path, or of the one that stands in for unknown ones; negative to refuse. */
+    /**
+     * Returns the index of a team by its path, or of the team that stands in for unknown ones; negative if unknown
+     * teams are refused.
+     */
     public int place(String path) {
-        return places.getOrDefault(path, unknown);
+        return indexByPath.getOrDefault(path, unknownTeamIndex);
     }
 }
--- a/router/src/main/java/stoatrill/contract/RateBucket.java
+++ b/router/src/main/java/stoatrill/contract/RateBucket.java
@@ -3,72 +3,80 @@
 import java.math.BigInteger;
 
 /**
- * A token bucket on whole numbers (Turner, "New directions in communications", 1986): a rate with a burst. In any
- * span it lets through at most the burst and what the rate gives in that span, after years as on the first day.
- * Times are in nanoseconds and may not go back. Not to be shared between threads.
+ * A token bucket on integers (Turner, "New directions in communications", 1986) with a rate and a burst. In any span it
+ * admits at most the burst plus the rate times the span, and stays exact over years. Times are in nanoseconds and must
+ * not go back. Not thread-safe.
  */
 final class RateBucket {
-    private static final long DAY = 86_400_000_000_000L;
+    private static final long DAY_NANOS = 86_400_000_000_000L;
 
-    /** What one request takes, what a nanosecond brings and what fits in, all in the same smallest part. */
-    private final long cost;
+    /** The cost of one request. The cost, gain, capacity and level are integers in the same smallest unit. */
+    private final long requestCost;
 
-    private final long gain;
-    private final long room;
+    /** What each nanosecond adds. */
+    private final long gainPerNano;
+
+    private final long capacity;
     private long level;
-    private long at;
+    private long filledAt;
 
-    /** {@code perDay} and {@code burst} are 1 or more; throws if they can't be counted exactly together. */
+    /**
+     * Creates a full bucket. {@code perDay} and {@code burst} are at least 1.
+     *
+     * @throws ArithmeticException if they can't be counted exactly together
+     */
     RateBucket(long perDay, long burst, long now) {
-        long common = BigInteger.valueOf(DAY).gcd(BigInteger.valueOf(perDay)).longValue();
-        cost = DAY / common;
-        gain = perDay / common;
-        room = Math.multiplyExact(cost, burst);
-        level = room;
-        at = now;
+        long divisor =
+                BigInteger.valueOf(DAY_NANOS).gcd(BigInteger.valueOf(perDay)).longValue();
+        requestCost = DAY_NANOS / divisor;
+        gainPerNano = perDay / divisor;
+        capacity = Math.multiplyExact(requestCost, burst);
+        level = capacity;
+        filledAt = now;
     }
 
-    /** Whether a rate and a burst can be counted exactly together. */
-    static boolean fits(long perDay, long burst) {
-        long common = BigInteger.valueOf(DAY).gcd(BigInteger.valueOf(perDay)).longValue();
-        return burst <= Long.MAX_VALUE / 2 / (DAY / common);
+    /** Whether this rate and burst can be counted exactly together. */
+    static boolean canCountExactly(long perDay, long burst) {
+        long divisor =
+                BigInteger.valueOf(DAY_NANOS).gcd(BigInteger.valueOf(perDay)).longValue();
+        return burst <= Long.MAX_VALUE / 2 / (DAY_NANOS / divisor);
     }
 
-    private void fill(long now) {
-        long passed = Math.max(0, now - at);
-        long missing = room - level;
-        // Guards the product from running over: by then it is full in any case.
-        level = passed >= missing / gain + 1 ? room : level + passed * gain;
-        at = Math.max(at, now);
+    private void refill(long now) {
+        long elapsed = Math.max(0, now - filledAt);
+        long missing = capacity - level;
+        // Avoids an overflow of the product: after that time the bucket is full in any case.
+        level = elapsed >= missing / gainPerNano + 1 ? capacity : level + elapsed * gainPerNano;
+        filledAt = Math.max(filledAt, now);
     }
 
-    /** Whether a request fits in now; takes nothing. */
-    boolean has(long now) {
-        fill(now);
-        return level >= cost;
+    /** Whether there is room for a request now. Takes nothing. */
+    boolean hasRoom(long now) {
+        refill(now);
+        return level >= requestCost;
     }
 
-    /** Takes one; where {@link #has} was false for the same time, that is a debt. */
+    /** Takes one request. If {@link #hasRoom} was false for the same time, the bucket goes into debt. */
     void take() {
-        level = Math.max(Long.MIN_VALUE / 2, level - cost);
+        level = Math.max(Long.MIN_VALUE / 2, level - requestCost);
     }
 
-    /** Gives one back that was refused elsewhere or never ran. */
-    void giveBack() {
-        level = Math.min(room, level + cost);
+    /** Refunds one request that was refused elsewhere or never ran. */
+    void refund() {
+        level = Math.min(capacity, level + requestCost);
     }
 
-    /** The first time at which a request fits in, if none is taken until then. */
+    /** Returns the first time at which there is room for a request if none is taken until then. */
     long readyAt(long now) {
-        fill(now);
-        return level >= cost ? now : now + (cost - level + gain - 1) / gain;
+        refill(now);
+        return level >= requestCost ? now : now + (requestCost - level + gainPerNano - 1) / gainPerNano;
     }
 
-    /** Carries over what is missing, so that a reload forgets no spending; a smaller bucket is at most empty. */
-    void follow(RateBucket before, long now) {
-        before.fill(now);
-        fill(now);
-        long spent = (before.room - before.level) / before.cost;
-        level = spent >= room / cost ? 0 : room - spent * cost;
+    /** Carries over the spending of a previous bucket, so that a reload keeps it. A smaller bucket is at most empty. */
+    void carryOver(RateBucket previous, long now) {
+        previous.refill(now);
+        refill(now);
+        long spent = (previous.capacity - previous.level) / previous.requestCost;
+        level = spent >= capacity / requestCost ? 0 : capacity - spent * requestCost;
     }
 }
--- a/router/src/main/java/stoatrill/contract/WindowBudget.java
+++ b/router/src/main/java/stoatrill/contract/WindowBudget.java
@@ -1,91 +1,96 @@
 package stoatrill.contract;
 
 /**
- * A budget over a sliding window: in any window of that length at most so many, also round midnight and in bursts.
- * Counts are kept by slots of a 64th of the window, and one slot more than the window has counts, so that it may be
- * strict by a 64th of the window and is never loose. Times are in nanoseconds and may not go back.
+ * A budget over a sliding window: at most the limit in any window of that length, including across midnight and in
+ * bursts. Requests are counted in slots of 1/64 of the window. One slot more than the window is counted, so the budget
+ * may be stricter by 1/64 of the window and never admits more than the limit. Times are in nanoseconds and must not go
+ * back.
  */
 final class WindowBudget {
-    private static final int SLOTS = 64;
+    private static final int SLOT_COUNT = 64;
 
-    private final long most;
-    private final long slot;
-    private final long[] spent = new long[SLOTS + 1];
-    private long sum;
-    private long newest;
+    private final long limit;
+    private final long slotNanos;
+    private final long[] spentBySlot = new long[SLOT_COUNT + 1];
+    private long totalSpent;
+    private long newestSlot;
 
-    WindowBudget(long most, long window, long now) {
-        this.most = most;
-        this.slot = Math.max(1, (window + SLOTS - 1) / SLOTS);
-        this.newest = now / slot;
+    WindowBudget(long limit, long window, long now) {
+        this.limit = limit;
+        this.slotNanos = Math.max(1, (window + SLOT_COUNT - 1) / SLOT_COUNT);
+        this.newestSlot = now / slotNanos;
     }
 
-    private void move(long now) {
-        long to = now / slot;
-        if (to - newest > SLOTS) {
-            java.util.Arrays.fill(spent, 0);
-            sum = 0;
-            newest = to;
+    /** Drops the slots that have left the window. */
+    private void advanceTo(long now) {
+        long currentSlot = now / slotNanos;
+        if (currentSlot - newestSlot > SLOT_COUNT) {
+            java.util.Arrays.fill(spentBySlot, 0);
+            totalSpent = 0;
+            newestSlot = currentSlot;
         }
-        while (newest < to) {
-            newest++;
-            int i = place(newest);
-            sum -= spent[i];
-            spent[i] = 0;
+        while (newestSlot < currentSlot) {
+            newestSlot++;
+            int index = indexOf(newestSlot);
+            totalSpent -= spentBySlot[index];
+            spentBySlot[index] = 0;
         }
     }
 
-    private static int place(long slot) {
-        return (int) Math.floorMod(slot, (long) SLOTS + 1);
+    private static int indexOf(long slot) {
+        return (int) Math.floorMod(slot, (long) SLOT_COUNT + 1);
     }
 
-    boolean has(long now) {
-        move(now);
-        return sum < most;
+    /** Whether there is room for a request now. */
+    boolean hasRoom(long now) {
+        advanceTo(now);
+        return totalSpent < limit;
     }
 
+    /** Takes one request in the newest slot. */
     void take() {
-        spent[place(newest)]++;
-        sum++;
+        spentBySlot[indexOf(newestSlot)]++;
+        totalSpent++;
     }
 
-    /** Gives one back that was taken at a time; of no effect once that has left the window. */
-    void giveBack(long taken) {
-        long in = taken / slot;
-        if (newest - in <= SLOTS && spent[place(in)] > 0) {
-            spent[place(in)]--;
-            sum--;
+    /** Refunds one request that was taken at a time. Has no effect once that time has left the window. */
+    void refund(long takenAt) {
+        long takenSlot = takenAt / slotNanos;
+        if (newestSlot - takenSlot <= SLOT_COUNT && spentBySlot[indexOf(takenSlot)] > 0) {
+            spentBySlot[indexOf(takenSlot)]--;
+            totalSpent--;
         }
     }
 
-    /** The first time at which a request fits in, if none is taken until then. */
+    /** Returns the first time at which there is room for a request if none is taken until then. */
     long readyAt(long now) {
-        move(now);
-        long left = sum;
-        for (long s = newest - SLOTS; s <= newest; s++) {
-            if (left < most) {
-                return s == newest - SLOTS ? now : (s + SLOTS) * slot;
+        advanceTo(now);
+        long remaining = totalSpent;
+        for (long slot = newestSlot - SLOT_COUNT; slot <= newestSlot; slot++) {
+            if (remaining < limit) {
+                return slot == newestSlot - SLOT_COUNT ? now : (slot + SLOT_COUNT) * slotNanos;
             }
-            left -= spent[place(s)];
+            remaining -= spentBySlot[indexOf(slot)];
         }
-        return (newest + SLOTS + 1) * slot;
+        return (newestSlot + SLOT_COUNT + 1) * slotNanos;
     }
 
-    /** How many were spent in the window that ends now. */
-    long spent(long now) {
-        move(now);
-        return sum;
+    /** Returns how many requests were spent in the window that ends now. */
+    long spentBySlot(long now) {
+        advanceTo(now);
+        return totalSpent;
     }
 
-    /** Carries over what was spent, so that a reload forgets none of it. */
-    void follow(WindowBudget before, long now) {
-        before.move(now);
-        move(now);
-        for (long s = before.newest - SLOTS; s <= before.newest; s++) {
-            long count = before.spent[place(s)];
-            long at = Math.max(newest - SLOTS, Math.min(newest, s * before.slot / slot));
-            spent[place(at)] += count;
-            sum += count;
+    /** Carries over what a previous budget spent, so that a reload keeps it. */
+    void carryOver(WindowBudget previous, long now) {
+        previous.advanceTo(now);
+        advanceTo(now);
+        for (long slot = previous.newestSlot - SLOT_COUNT; slot <= previous.newestSlot; slot++) {
+            long count = previous.spentBySlot[indexOf(slot)];
+            long target =
+                    Math.max(newestSlot - SLOT_COUNT, Math.min(newestSlot, slot * previous.slotNanos / slotNanos));
+            spentBySlot[indexOf(target)] += count;
+            totalSpent += count;
         }
     }
 }
--- a/router/src/main/java/stoatrill/contract/package-info.java
+++ b/router/src/main/java/stoatrill/contract/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Teams, their contracts and what they have spent: admits a request or says when to come back, and never picks a
- * server. No socket, clock, thread or file: time comes in as an argument, and all arithmetic is on whole numbers.
+ * Admission control by team: the contracts of teams and what they have spent. Admits a request or tells when to try
+ * again, and never chooses a server. No sockets, clocks, threads or files: callers pass in the time, and all arithmetic
+ * is on integers.
  */
 package stoatrill.contract;
--- a/router/src/main/java/stoatrill/estimate/DecayingRate.java
+++ b/router/src/main/java/stoatrill/estimate/DecayingRate.java
@@ -1,29 +1,33 @@
 package stoatrill.estimate;
 
 /**
- * The rate of events, smoothed exponentially by time. An event counts fully when it happens and fades by a factor
- * of {@code e} over the time constant, so that the estimate means the same at any rate. Not safe for threads.
+ * A rate of events, smoothed exponentially over time. An event counts fully when it occurs and its weight decays by a
+ * factor of {@code e} per time constant, so the estimate means the same at any rate. Not thread-safe.
  */
 public final class DecayingRate {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private final double timeConstant;
-    private double rate;
+    private final double timeConstantNanos;
+    private double ratePerSecond;
     private long lastEventAt;
 
-    /** A rate of zero. {@code timeConstant} is in nanoseconds and positive. */
-    public DecayingRate(double timeConstant) {
-        this.timeConstant = timeConstant;
+    /**
+     * Creates a rate of zero.
+     *
+     * @param timeConstantNanos in nanoseconds, positive
+     */
+    public DecayingRate(double timeConstantNanos) {
+        this.timeConstantNanos = timeConstantNanos;
     }
 
-    /** Counts one event at a time in nanoseconds, which is not before the last one. */
-    public void add(long now) {
-        rate = perSecond(now) + NANOS_PER_SECOND / timeConstant;
+    /** Records one event at a time in nanoseconds, which is not before that of the last event. */
+    public void recordEvent(long now) {
+        ratePerSecond = perSecond(now) + NANOS_PER_SECOND / timeConstantNanos;
         lastEventAt = now;
     }
 
-    /** Events a second, as seen from a time in nanoseconds. */
+    /** Returns the events a second as of a time in nanoseconds. */
     public double perSecond(long now) {
-        return rate * Math.exp((lastEventAt - now) / timeConstant);
+        return ratePerSecond * Math.exp((lastEventAt - now) / timeConstantNanos);
     }
 }
--- a/router/src/main/java/stoatrill/estimate/package-info.java
+++ b/router/src/main/java/stoatrill/estimate/package-info.java
@@ -1,2 +1,2 @@
-/** Smoothed estimates of what is measured. They see no clock, socket or thread: times are handed in. */
+/** Smoothed estimates of measured values. No sockets, clocks or threads: callers pass in the time. */
 package stoatrill.estimate;
--- a/router/src/main/java/stoatrill/overload/TenantAllowances.java
+++ b/router/src/main/java/stoatrill/overload/TenantAllowances.java
@@ -3,37 +3,37 @@
 import java.util.Arrays;
 
 /**
- * One token bucket for each tenant, filled at this router's part of the tenant's allowance. It tells whether a
- * request is within the allowance and decides nothing about it. Not safe for threads.
+ * One token bucket for each tenant, refilled at this router's share of the tenant's allowance. It reports whether a
+ * request is within the allowance and makes no decision about it. Not thread-safe.
  */
 public final class TenantAllowances {
-    /** Requests, and seconds of its allowance, that a tenant may send at once. */
-    private static final double BURST = 2;
+    /** Size of a bucket: this number of requests, plus the requests of this number of seconds at the tenant's rate. */
+    private static final double BURST_LIMIT = 2;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final double[] ratePerSecond;
     private final double[] tokens;
-    private long filledAt;
+    private long refilledAt;
 
-    /** Full buckets for tenants with these rates, in requests a second at this router. */
+    /** Creates full buckets for tenants with these rates, in requests a second at this router. */
     public TenantAllowances(double[] ratePerSecond) {
         this.ratePerSecond = ratePerSecond.clone();
         this.tokens = new double[ratePerSecond.length];
-        Arrays.fill(tokens, BURST);
+        Arrays.fill(tokens, BURST_LIMIT);
     }
 
-    /** Starts to fill the buckets from a time in nanoseconds on. */
+    /** Starts to refill the buckets from a time in nanoseconds. */
     public void start(long now) {
-        filledAt = now;
+        refilledAt = now;
     }
 
-    /** Takes one request of a tenant; true if it was beyond the allowance, which then stays as it was. */
+    /** Charges one request to a tenant. Returns true if the request exceeds the allowance; then nothing is charged. */
     public boolean exceeds(int tenant, long now) {
         if (tokens.length == 0) {
             return false;
         }
-        fill(now);
+        refill(now);
         if (tokens[tenant] < 1) {
             return true;
         }
@@ -41,12 +41,12 @@
         return false;
     }
 
-    private void fill(long now) {
-        double passed = (now - filledAt) / NANOS_PER_SECOND;
-        filledAt = now;
+    private void refill(long now) {
+        double elapsedSeconds = (now - refilledAt) / NANOS_PER_SECOND;
+        refilledAt = now;
         for (int i = 0; i < tokens.length; i++) {
-            double most = BURST + BURST * ratePerSecond[i];
-            tokens[i] = Math.min(most, tokens[i] + passed * ratePerSecond[i]);
+            double limit = BURST_LIMIT + BURST_LIMIT * ratePerSecond[i];
+            tokens[i] = Math.min(limit, tokens[i] + elapsedSeconds * ratePerSecond[i]);
         }
     }
 }
--- a/router/src/main/java/stoatrill/overload/package-info.java
+++ b/router/src/main/java/stoatrill/overload/package-info.java
@@ -1,2 +1,2 @@
-/** Limits on what is taken on when there is too much. No sockets, clocks, threads or files; picks no server. */
+/** Rate limits and backoff for overload. No sockets, clocks, threads or files, and no choice of servers. */
 package stoatrill.overload;
--- a/router/src/main/java/stoatrill/package-info.java
+++ b/router/src/main/java/stoatrill/package-info.java
@@ -1,2 +1,2 @@
-/** The decisions of a proxy before a primary and its replicas, and the interface to embed them by. */
+/** The decision module of a router for a primary and its replicas, and the interface to embed it. */
 package stoatrill;
--- a/router/src/main/java/stoatrill/session/SessionCommits.java
+++ b/router/src/main/java/stoatrill/session/SessionCommits.java
@@ -4,37 +4,37 @@
 import java.util.Map;
 
 /**
- * The newest commit of each session, for reads that must see their session's own writes. The number of sessions
- * kept is bounded: when it is reached all are forgotten at once, and the time at which that happened stands in for
- * every session, which asks for more than needed but never for less. Not safe for threads.
+ * The newest commit of each session, for reads that must see the writes of their own session. The number of sessions is
+ * bounded. When the limit is reached, all sessions are dropped at once, and the time of that becomes the lower bound
+ * for every session: it may require more than needed but never less. Not thread-safe.
  */
 public final class SessionCommits {
     private final int capacity;
     private final Map<Long, Long> commits = new HashMap<>();
-    private long floor;
+    private long lowerBound;
 
     /**
-     * A memory without sessions.
+     * Creates a store without sessions.
      *
-     * @param capacity how many sessions are kept, at least 1
-     * @param none the position given for a session that is not known
+     * @param capacity the number of sessions that are kept, at least 1
+     * @param unknownPosition the position that is returned for an unknown session
      */
-    public SessionCommits(int capacity, long none) {
+    public SessionCommits(int capacity, long unknownPosition) {
         this.capacity = capacity;
-        this.floor = none;
+        this.lowerBound = unknownPosition;
     }
 
-    /** Records a commit of a session, known at a time; both in nanoseconds on the same clock. */
+    /** Records a commit of a session that is known as of a time; both are nanoseconds on the same clock. */
     public void record(long session, long commit, long now) {
         if (commits.size() >= capacity) {
             commits.clear();
-            floor = now;
+            lowerBound = now;
         }
         commits.merge(session, commit, Math::max);
     }
 
-    /** The position that a read of this session has to see. */
-    public long required(long session) {
-        return commits.getOrDefault(session, floor);
+    /** Returns the position that a read of this session must see. */
+    public long requiredPosition(long session) {
+        return commits.getOrDefault(session, lowerBound);
     }
 }
--- a/router/src/main/java/stoatrill/session/package-info.java
+++ b/router/src/main/java/stoatrill/session/package-info.java
@@ -1,2 +1,2 @@
-/** What is remembered of sessions between their requests. No sockets, clocks, threads or files. */
+/** State of client sessions that is kept between requests. No sockets, clocks, threads or files. */
 package stoatrill.session;
