--- a/router/src/test/java/stoatrill/DecideTest.java
+++ b/router/src/test/java/stoatrill/DecideTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stoatrill.Recorder.ANY;
-import static stoatrill.Recorder.BOUNDED;
-import static stoatrill.Recorder.MS;
-import static stoatrill.Recorder.SESSION;
-import static stoatrill.Recorder.WRITE;
+import static stoatrill.RecordingGateway.ANY;
+import static stoatrill.RecordingGateway.BOUNDED;
+import static stoatrill.RecordingGateway.NANOS_PER_MILLI;
+import static stoatrill.RecordingGateway.SESSION;
+import static stoatrill.RecordingGateway.WRITE;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,136 +19,139 @@
 import stoatrill.Gateway.Scope;
 
 class DecideTest {
-    private Recorder gateway = start(Effect.UNSAFE, Scope.GROUP);
+    private RecordingGateway gateway = start(Effect.UNSAFE, Scope.GROUP);
 
-    private static Recorder start(Effect effect, Scope scope) {
-        return Recorder.start(Recorder.settings(effect, scope, Check.NONE, true));
+    private static RecordingGateway start(Effect effect, Scope scope) {
+        return RecordingGateway.start(RecordingGateway.settings(effect, scope, Check.NONE, true));
     }
 
-    // The ordinary choice.
+    // Choice of a server without overload or faults.
 
     @Test
-    void writesGoToThePrimary() {
+    void sendsWriteToPrimary() {
         gateway.request(WRITE);
-        assertEquals(1, gateway.last());
+        assertEquals(1, gateway.lastServer());
     }
 
     @Test
-    void readsGoToTheLocalReplica() {
+    void sendsReadToLocalReplica() {
         gateway.request(ANY);
-        assertEquals(2, gateway.last());
+        assertEquals(2, gateway.lastServer());
     }
 
     @Test
-    void aBoundedReadLeavesAStaleLocalReplicaForAFitRemoteOne() {
-        gateway.fresh(2);
-        gateway.fresh(4);
+    void sendsBoundedReadToFreshRemoteReplicaWhenLocalIsStale() {
+        gateway.reportCurrentPosition(2);
+        gateway.reportCurrentPosition(4);
         gateway.request(BOUNDED);
-        assertEquals(2, gateway.last());
-        gateway.now += 900 * MS;
-        gateway.fresh(4);
-        gateway.now += 200 * MS;
+        assertEquals(2, gateway.lastServer());
+        gateway.now += 900 * NANOS_PER_MILLI;
+        gateway.reportCurrentPosition(4);
+        gateway.now += 200 * NANOS_PER_MILLI;
         gateway.request(BOUNDED);
-        assertEquals(4, gateway.last());
+        assertEquals(4, gateway.lastServer());
     }
 
     @Test
-    void aBoundedReadGoesToThePrimaryWhereNoReplicaIsKnownFresh() {
+    void sendsBoundedReadToPrimaryWhenNoReplicaIsKnownFresh() {
         gateway.request(BOUNDED);
-        assertEquals(1, gateway.last());
+        assertEquals(1, gateway.lastServer());
     }
 
     @Test
-    void whereServersCheckAnUnknownLocalReplicaIsTried() {
-        gateway = Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.WAIT, true));
+    void triesLocalReplicaOfUnknownPositionWhenServersCheckReads() {
+        gateway = RecordingGateway.start(RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.WAIT, true));
         gateway.request(BOUNDED);
-        assertEquals(2, gateway.last());
+        assertEquals(2, gateway.lastServer());
     }
 
     @Test
-    void aReadLeavesABusyLocalReplica() {
+    void avoidsBusyLocalReplica() {
         for (int i = 0; i < 40; i++) {
             long id = gateway.request(ANY);
             gateway.module.outcome(
                     gateway.now,
                     id,
                     0,
-                    gateway.last(),
+                    gateway.lastServer(),
                     Result.OK,
-                    gateway.last() == 2 ? 900 * MS : 20 * MS,
+                    gateway.lastServer() == 2 ? 900 * NANOS_PER_MILLI : 20 * NANOS_PER_MILLI,
                     true,
                     Gateway.NO_POSITION,
                     Role.UNKNOWN,
                     null);
-            gateway.pass(50);
+            gateway.advance(50);
         }
         long local = gateway.sentTo.stream().filter(s -> s == 2).count();
-        assertTrue(local < 20, local + " of 40 reads to a busy server");
+        assertTrue(local < 20, local + " of 40 reads sent to a busy server");
     }
 
     @Test
-    void aRefusingReplicaIsLeftForAnotherAtOnce() {
+    void retriesOnAnotherReplicaAfterRefusalAsFull() {
         long id = gateway.request(ANY);
         gateway.outcome(id, 0, 2, Result.FULL);
-        assertTrue(gateway.last() >= 3, "went to " + gateway.last());
+        assertTrue(gateway.lastServer() >= 3, "went to " + gateway.lastServer());
     }
 
     @Test
-    void aSessionReadWaitsForNoReplicaBehindItsWrite() {
+    void sendsSessionReadOnlyToServerThatHasItsWrite() {
         long write = gateway.request(WRITE, 77);
-        gateway.fresh(2);
-        gateway.now += 10 * MS;
+        gateway.reportCurrentPosition(2);
+        gateway.now += 10 * NANOS_PER_MILLI;
         gateway.outcome(write, 0, 1, Result.OK, gateway.now, Role.PRIMARY);
         gateway.request(SESSION, 77);
-        assertEquals(1, gateway.last());
+        assertEquals(1, gateway.lastServer());
         gateway.request(SESSION, 78);
-        assertEquals(2, gateway.last());
-        gateway.now += 10 * MS;
-        gateway.fresh(2);
+        assertEquals(2, gateway.lastServer());
+        gateway.now += 10 * NANOS_PER_MILLI;
+        gateway.reportCurrentPosition(2);
         gateway.request(SESSION, 77);
-        assertEquals(2, gateway.last());
+        assertEquals(2, gateway.lastServer());
     }
 
     @Test
-    void aReadWaitsForTheReportOfALocalReplicaWhoseNewsIsOld() {
-        gateway = Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
-        gateway.pass(2000);
-        assertEquals(0, gateway.count("probe"), "probes without need");
+    void waitsForReportOfLocalReplicaWithOldPosition() {
+        gateway = RecordingGateway.start(
+                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway.advance(2000);
+        assertEquals(0, gateway.countActions("probe"), "probes without a request that needs one");
         gateway.request(BOUNDED);
-        assertEquals(1, gateway.count("probe 2"));
-        assertEquals(0, gateway.count("send"));
-        gateway.fresh(2);
-        assertEquals(2, gateway.last());
+        assertEquals(1, gateway.countActions("probe 2"));
+        assertEquals(0, gateway.countActions("send"));
+        gateway.reportCurrentPosition(2);
+        assertEquals(2, gateway.lastServer());
     }
 
     @Test
-    void aReadWhoseReportDoesNotComeGoesElsewhere() {
-        gateway = Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
-        gateway.served(WRITE);
+    void sendsReadElsewhereWhenReportDoesNotArrive() {
+        gateway = RecordingGateway.start(
+                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway.serve(WRITE);
         gateway.sentTo.clear();
-        gateway.now += 1100 * MS;
+        gateway.now += 1100 * NANOS_PER_MILLI;
         gateway.request(BOUNDED);
         assertEquals(0, gateway.sentTo.size());
-        gateway.pass(40);
-        assertEquals(1, gateway.last());
-        assertEquals(1, gateway.count("probe 2"));
+        gateway.advance(40);
+        assertEquals(1, gateway.lastServer());
+        assertEquals(1, gateway.countActions("probe 2"));
     }
 
     @Test
-    void aPrimaryKnownFromTheListAloneIsNotTakenAsFresh() {
-        gateway = Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+    void doesNotTrustPrimaryKnownOnlyFromList() {
+        gateway = RecordingGateway.start(
+                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
         long id = gateway.request(BOUNDED);
-        gateway.pass(100);
-        assertEquals(0, gateway.count("send " + id + " "));
-        gateway.fresh(3);
-        gateway.pass(30);
-        assertEquals(3, gateway.last());
+        gateway.advance(100);
+        assertEquals(0, gateway.countActions("send " + id + " "));
+        gateway.reportCurrentPosition(3);
+        gateway.advance(30);
+        assertEquals(3, gateway.lastServer());
     }
 
     @Test
-    void aTenantInsideItsShareThatComesInABunchIsNotMarkedDown() {
-        Gateway.Settings plain = Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true);
-        gateway = Recorder.start(new Gateway.Settings(
+    void keepsWorthOfTenantBurstWithinAllowance() {
+        Gateway.Settings plain = RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true);
+        gateway = RecordingGateway.start(new Gateway.Settings(
                 plain.me(),
                 plain.gateways(),
                 plain.zone(),
@@ -166,14 +169,14 @@
                     gateway.now,
                     id,
                     0,
-                    gateway.last(),
+                    gateway.lastServer(),
                     Result.OK,
-                    200 * MS,
+                    200 * NANOS_PER_MILLI,
                     true,
                     Gateway.NO_POSITION,
                     Role.UNKNOWN,
                     null);
-            gateway.pass(1000);
+            gateway.advance(1000);
         }
         for (int i = 0; i < 2; i++) {
             long id = gateway.request(ANY);
@@ -181,34 +184,35 @@
                     gateway.now,
                     id,
                     0,
-                    gateway.last(),
+                    gateway.lastServer(),
                     Result.OK,
-                    200 * MS,
+                    200 * NANOS_PER_MILLI,
                     true,
                     Gateway.NO_POSITION,
                     Role.UNKNOWN,
                     null);
-            assertEquals(1, gateway.count("send " + id + " "), "request " + i + " of a bunch inside the share");
+            assertEquals(
+                    1, gateway.countActions("send " + id + " "), "request " + i + " of a burst within the allowance");
         }
     }
 
-    // Rule 1: one final answer, in time.
+    // Rule 1: each request gets one final answer in time.
 
     @Test
-    void theDeadlineTimerAnswersARequestThatIsHeld() {
+    void answersHeldRequestAtDeadline() {
         gateway.module.members(gateway.now, Gateway.ListKind.FULL, List.of());
-        gateway.now += 1000 * MS;
+        gateway.now += 1000 * NANOS_PER_MILLI;
         long id = gateway.request(WRITE);
-        assertEquals(0, gateway.count("send"));
+        assertEquals(0, gateway.countActions("send"));
         assertTrue(gateway.timers.contains(id));
-        gateway.now += 1995 * MS;
+        gateway.now += 1995 * NANOS_PER_MILLI;
         gateway.module.timer(gateway.now, id);
         gateway.module.timer(gateway.now, id);
-        assertEquals(1, gateway.count("refuse " + id));
+        assertEquals(1, gateway.countActions("refuse " + id));
     }
 
     @Test
-    void lateEventsOfAnEndedRequestAreIgnored() {
+    void ignoresLateEventsOfEndedRequest() {
         long id = gateway.request(ANY);
         gateway.module.left(gateway.now, id);
         gateway.outcome(id, 0, 2, Result.CANCELLED);
@@ -216,363 +220,370 @@
         gateway.module.timer(gateway.now, id);
         gateway.outcome(id, 0, 2, Result.OK);
         gateway.outcome(id, 0, 99, Result.OK);
-        assertEquals(1, gateway.count("send"));
-        assertEquals(0, gateway.count("refuse") + gateway.count("fail"));
+        assertEquals(1, gateway.countActions("send"));
+        assertEquals(0, gateway.countActions("refuse") + gateway.countActions("fail"));
     }
 
     @Test
-    void aStreamThatHasBegunIsNotCalledOff() {
+    void doesNotCancelStreamThatHasBegun() {
         long id = gateway.request(ANY);
         gateway.module.begun(gateway.now, id, 0, 2);
-        gateway.module.timer(gateway.now + 2000 * MS, id);
-        assertEquals(0, gateway.count("cancel") + gateway.count("refuse") + gateway.count("fail"));
+        gateway.module.timer(gateway.now + 2000 * NANOS_PER_MILLI, id);
+        assertEquals(0, gateway.countActions("cancel") + gateway.countActions("refuse") + gateway.countActions("fail"));
     }
 
-    // Rule 2: no effect twice.
+    // Rule 2: no request has its effect twice.
 
     @Test
-    void anUnsafeWriteThatMayHaveRunIsFailedAtOnce() {
+    void failsUnsafeWriteThatMayHaveRun() {
         for (Result result : List.of(Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED)) {
             gateway = start(Effect.UNSAFE, Scope.GROUP);
             long id = gateway.request(WRITE);
             gateway.outcome(id, 0, 1, result);
-            assertEquals(1, gateway.count("send"), "after " + result);
-            assertTrue(gateway.did("fail " + id), "after " + result);
+            assertEquals(1, gateway.countActions("send"), "after " + result);
+            assertTrue(gateway.hasAction("fail " + id), "after " + result);
         }
     }
 
     @Test
-    void anUnsafeWriteThatNeverRanIsSentOn() {
+    void retriesUnsafeWriteThatNeverRan() {
         long id = gateway.request(WRITE);
         gateway.outcome(id, 0, 1, Result.CONNECT_FAILED);
-        assertEquals(2, gateway.count("send"));
-        assertFalse(gateway.did("fail " + id));
+        assertEquals(2, gateway.countActions("send"));
+        assertFalse(gateway.hasAction("fail " + id));
     }
 
     @Test
-    void aKeyedWriteThatMayHaveRunIsSentAgainInsideItsWindowOnly() {
+    void retriesKeyedWriteOnlyWithinRepeatWindow() {
         gateway = start(Effect.KEYED, Scope.GROUP);
         long early = gateway.request(WRITE);
         long late = gateway.request(WRITE);
-        gateway.now += 500 * MS;
+        gateway.now += 500 * NANOS_PER_MILLI;
         gateway.outcome(early, 0, 1, Result.ERROR);
-        assertEquals(3, gateway.count("send"));
-        gateway.now += 490 * MS;
+        assertEquals(3, gateway.countActions("send"));
+        gateway.now += 490 * NANOS_PER_MILLI;
         gateway.outcome(late, 0, 1, Result.ERROR);
-        assertEquals(3, gateway.count("send"));
-        assertTrue(gateway.did("fail " + late));
+        assertEquals(3, gateway.countActions("send"));
+        assertTrue(gateway.hasAction("fail " + late));
     }
 
     @Test
-    void aKeyedWriteThatMayHaveRunIsRefusedOnlyWhereAllServersDropRepeats() {
+    void refusesKeyedWriteThatMayHaveRunIfAllServersDropRepeats() {
         gateway = start(Effect.KEYED, Scope.ALL);
         long id = gateway.request(WRITE);
-        gateway.now += 1500 * MS;
+        gateway.now += 1500 * NANOS_PER_MILLI;
         gateway.outcome(id, 0, 1, Result.ERROR);
-        assertTrue(gateway.did("refuse " + id));
+        assertTrue(gateway.hasAction("refuse " + id));
     }
 
-    // Rule 3: drains are kept.
+    // Rule 3: draining servers get no further requests.
 
     @Test
-    void aDrainingServerGetsNothingMore() {
+    void sendsNothingToDrainingServer() {
         gateway.module.members(
                 gateway.now,
                 Gateway.ListKind.DELTA,
                 List.of(
                         new Gateway.Member(2, 0, 0, 0, 1, 0, false, Gateway.State.DRAINING),
                         new Gateway.Member(1, 0, 0, 0, 1, 0, false, Gateway.State.DRAINING)));
-        gateway.now += 500 * MS;
+        gateway.now += 500 * NANOS_PER_MILLI;
         gateway.request(ANY);
-        assertTrue(gateway.last() >= 3, "went to " + gateway.last());
+        assertTrue(gateway.lastServer() >= 3, "went to " + gateway.lastServer());
         long write = gateway.request(WRITE);
-        assertEquals(0, gateway.count("send " + write));
+        assertEquals(0, gateway.countActions("send " + write));
     }
 
-    // Rule 4: no cold server pushed over.
+    // Rule 4: cold servers are not overloaded.
 
     @Test
-    void aServerThatHasJustStartedGetsABudget() {
+    void limitsRequestsToStartedServer() {
         gateway.module.members(
                 gateway.now,
                 Gateway.ListKind.DELTA,
                 List.of(new Gateway.Member(2, 0, 0, 0, 1, gateway.now, false, Gateway.State.READY)));
         for (int i = 0; i < 100; i++) {
-            gateway.now += 10 * MS;
-            gateway.served(ANY);
+            gateway.now += 10 * NANOS_PER_MILLI;
+            gateway.serve(ANY);
         }
         long cold = gateway.sentTo.stream().filter(s -> s == 2).count();
         assertTrue(cold <= 15, cold + " of 100 sent to the cold server");
     }
 
     @Test
-    void aServerLostByItsConnectionsComesBackOnABudget() {
+    void limitsRequestsToServerThatReturnsAfterConnectionFailures() {
         for (int i = 0; i < 2; i++) {
             long id = gateway.request(ANY);
             gateway.outcome(id, 0, 2, Result.CONNECT_FAILED);
         }
-        gateway.pass(510);
+        gateway.advance(510);
         long trial = gateway.request(ANY);
-        assertEquals(2, gateway.last());
+        assertEquals(2, gateway.lastServer());
         gateway.outcome(trial, 0, 2, Result.OK);
         gateway.sentTo.clear();
         for (int i = 0; i < 50; i++) {
-            gateway.served(ANY);
+            gateway.serve(ANY);
         }
         long back = gateway.sentTo.stream().filter(s -> s == 2).count();
         assertTrue(back <= 2, back + " of 50 at once to a server that may just have started");
     }
 
-    // A change of primary.
+    // Changes of the primary.
 
     @Test
-    void aHeldWriteTriesMembersByIdAfterMissesOnlyAndPausesAfterARound() {
+    void searchesPrimaryByIdAfterMissesAndPausesAfterEachRound() {
         long id = gateway.request(WRITE);
         gateway.outcome(id, 0, 1, Result.MISS, Gateway.NO_POSITION, Role.REPLICA);
         for (int attempt = 1; attempt <= 4; attempt++) {
-            gateway.pass(10);
-            assertEquals(attempt, gateway.last());
+            gateway.advance(10);
+            assertEquals(attempt, gateway.lastServer());
             if (attempt < 4) {
                 gateway.outcome(id, attempt, attempt, Result.MISS, Gateway.NO_POSITION, Role.REPLICA);
             }
         }
         gateway.outcome(id, 4, 4, Result.MISS, Gateway.NO_POSITION, Role.REPLICA);
-        gateway.pass(20);
-        assertEquals(5, gateway.count("send"));
-        gateway.pass(100);
-        assertEquals(6, gateway.count("send"));
+        gateway.advance(20);
+        assertEquals(5, gateway.countActions("send"));
+        gateway.advance(100);
+        assertEquals(6, gateway.countActions("send"));
     }
 
     @Test
-    void aHeldWriteGoesToTheNewPrimaryOnceAnAnswerShowsIt() {
+    void sendsHeldWriteToNewPrimaryOnceAnAnswerShowsIt() {
         long id = gateway.request(WRITE);
         gateway.outcome(id, 0, 1, Result.MISS, Gateway.NO_POSITION, Role.REPLICA);
         long read = gateway.request(ANY);
-        gateway.outcome(read, 0, gateway.last(), Result.OK, gateway.now, Role.PRIMARY);
-        long primary = gateway.last();
-        gateway.pass(10);
-        assertTrue(gateway.did("send " + id + " to " + primary));
-        assertEquals(2, gateway.count("send " + id));
+        gateway.outcome(read, 0, gateway.lastServer(), Result.OK, gateway.now, Role.PRIMARY);
+        long primary = gateway.lastServer();
+        gateway.advance(10);
+        assertTrue(gateway.hasAction("send " + id + " to " + primary));
+        assertEquals(2, gateway.countActions("send " + id));
     }
 
-    // Health.
+    // Health of servers.
 
     @Test
-    void aServerThatLeavesRequestsUnansweredRestsAndItsReadsAreRescued() {
+    void ejectsSilentServerAndRetriesItsReads() {
         for (int i = 0; i < 20; i++) {
-            gateway.served(ANY);
+            gateway.serve(ANY);
         }
         long[] stuck = {gateway.request(ANY), gateway.request(ANY)};
-        assertEquals(2, gateway.last());
-        for (int i = 0; i < 60 && !gateway.did("log server rests: silence"); i++) {
-            gateway.pass(20);
-            gateway.served(WRITE);
-        }
-        assertTrue(gateway.did("log server rests: silence"));
-        assertNotEquals(2, gateway.served(ANY));
-        gateway.pass(500);
+        assertEquals(2, gateway.lastServer());
+        for (int i = 0; i < 60 && !gateway.hasAction("log server rests: silence"); i++) {
+            gateway.advance(20);
+            gateway.serve(WRITE);
+        }
+        assertTrue(gateway.hasAction("log server rests: silence"));
+        assertNotEquals(2, gateway.serve(ANY));
+        gateway.advance(500);
         for (long id : stuck) {
-            assertEquals(2, gateway.count("send " + id + " "), "request " + id);
+            assertEquals(2, gateway.countActions("send " + id + " "), "request " + id);
         }
     }
 
     @Test
-    void aHardlyUsedReplicaIsNotBusyWithOneRequestInFlight() {
+    void rarelyUsedReplicaIsNotBusyWithOneRequestInFlight() {
         for (int i = 0; i < 60; i++) {
             long id = gateway.request(ANY);
-            gateway.now += 150 * MS;
-            gateway.module.outcome(gateway.now, id, 0, 2, Result.OK, 150 * MS, true, gateway.now, Role.REPLICA, null);
+            gateway.now += 150 * NANOS_PER_MILLI;
+            gateway.module.outcome(
+                    gateway.now, id, 0, 2, Result.OK, 150 * NANOS_PER_MILLI, true, gateway.now, Role.REPLICA, null);
         }
         gateway.request(ANY);
         gateway.request(ANY);
-        assertEquals(2, gateway.last());
+        assertEquals(2, gateway.lastServer());
     }
 
     @Test
-    void aReadIsNotRefusedWhileAnotherServerIsWithinItsPatience() {
+    void doesNotRefuseReadWhileAnotherServerIsFastEnough() {
         for (int i = 0; i < 40; i++) {
-            gateway.served(ANY);
+            gateway.serve(ANY);
         }
-        gateway.report(2, 30, 33);
+        gateway.reportQueue(2, 30, 33);
         for (int i = 0; i < 20; i++) {
             gateway.request(ANY);
-            assertNotEquals(2, gateway.last());
+            assertNotEquals(2, gateway.lastServer());
         }
-        assertEquals(0, gateway.count("refuse"));
+        assertEquals(0, gateway.countActions("refuse"));
     }
 
     @Test
-    void readsAreTakenOnWhereAllIsSlowButNothingWaits() {
-        gateway.report(2, 0, 1);
+    void acceptsReadsWhenServersAreSlowButHaveNoQueue() {
+        gateway.reportQueue(2, 0, 1);
         for (int i = 0; i < 80; i++) {
             long id = gateway.request(ANY);
-            gateway.now += 200 * MS; // half of the aim: beyond the patience of a read of little worth
-            long server = gateway.last();
+            gateway.now += 200 * NANOS_PER_MILLI; // half of the aim: more than a read of little worth may take
+            long server = gateway.lastServer();
             gateway.module.outcome(
                     gateway.now,
                     id,
                     0,
                     server,
                     Result.OK,
-                    200 * MS,
+                    200 * NANOS_PER_MILLI,
                     true,
                     gateway.now,
                     server == 1 ? Role.PRIMARY : Role.REPLICA,
                     null);
         }
-        assertEquals(0, gateway.count("refuse"));
+        assertEquals(0, gateway.countActions("refuse"));
     }
 
-    /** What waited at one server must not count again, as slowness, at another whose report shows none waiting. */
+    /** Time spent in the queue of one server must not count as slowness of another one that reports no queue. */
     @Test
-    void aQueueAtOneReplicaRefusesNothingThatAnotherHasRoomFor() {
+    void queueAtOneReplicaDoesNotRefuseReadThatAnotherCanServe() {
         for (int i = 0; i < 60; i++) {
-            gateway.request(WRITE); // the primary has no room
+            gateway.request(WRITE); // fills the primary
             long id = gateway.request(ANY);
-            long server = gateway.last();
-            gateway.now += 20 * MS;
+            long server = gateway.lastServer();
+            gateway.now += 20 * NANOS_PER_MILLI;
             gateway.module.outcome(
                     gateway.now,
                     id,
                     0,
                     server,
                     Result.OK,
-                    600 * MS,
+                    600 * NANOS_PER_MILLI,
                     true,
                     gateway.now,
                     Role.REPLICA,
-                    new Gateway.Report(gateway.now, Role.REPLICA, 36, 42)); // 36 wait for 6 at work
+                    new Gateway.Report(gateway.now, Role.REPLICA, 36, 42)); // 36 are queued and 6 in service
         }
         gateway.actions.clear();
-        gateway.report(3, 0, 1);
+        gateway.reportQueue(3, 0, 1);
         gateway.request(ANY);
-        assertEquals(3, gateway.last());
-        assertEquals(0, gateway.count("refuse"));
+        assertEquals(3, gateway.lastServer());
+        assertEquals(0, gateway.countActions("refuse"));
     }
 
-    /** With many routers each hears seldom of a server: an old report must not make it look idle among crowded ones. */
+    /**
+     * With many routers, each rarely hears from a server. An old report must not make the server look idle in a crowded
+     * group.
+     */
     @Test
-    void aServerNotHeardOfLatelyIsTakenToBeAsCrowdedAsItsGroup() {
-        gateway.report(2, 40, -1);
+    void assumesGroupQueueForServerWithOldReport() {
+        gateway.reportQueue(2, 40, -1);
         for (int i = 0; i < 20; i++) {
-            gateway.pass(50);
-            gateway.report(1, 40, -1);
-            gateway.report(3, 40, -1);
-            gateway.report(4, 40, -1);
+            gateway.advance(50);
+            gateway.reportQueue(1, 40, -1);
+            gateway.reportQueue(3, 40, -1);
+            gateway.reportQueue(4, 40, -1);
         }
         gateway.request(ANY);
-        assertEquals(1, gateway.count("refuse"), "a report of a second ago counted as no queue");
+        assertEquals(1, gateway.countActions("refuse"), "a report that is a second old counted as an empty queue");
     }
 
-    /** Writes queue at a primary alone, above all after a failover; no replica is crowded for that. */
+    /** Writes queue at the primary alone, mainly after a failover. This queue says nothing about the replicas. */
     @Test
-    void aQueueAtThePrimaryRefusesNoReadThatReplicasNotHeardOfLatelyMayTake() {
-        gateway.served(WRITE); // so that the module knows who leads
+    void queueAtPrimaryDoesNotRefuseReadsOfReplicasWithoutReport() {
+        gateway.serve(WRITE); // shows the module which server is the primary
         for (int i = 0; i < 60; i++) {
-            gateway.pass(50);
-            gateway.report(1, 40, -1);
+            gateway.advance(50);
+            gateway.reportQueue(1, 40, -1);
         }
         for (int i = 0; i < 3; i++) {
             gateway.request(ANY);
-            assertNotEquals(1, gateway.last());
+            assertNotEquals(1, gateway.lastServer());
         }
-        assertEquals(0, gateway.count("refuse"));
+        assertEquals(0, gateway.countActions("refuse"));
     }
 
-    /** At a high rate one busy replica answers a hundred times in a moment; that is still one replica's queue. */
+    /** A busy replica may report a hundred times within a moment. That is still the queue of one replica. */
     @Test
-    void manyReportsOfOneReplicaInAMomentRefuseNothingThatOthersMayTake() {
-        gateway.report(2, 0, 1);
+    void manyReportsOfOneBusyReplicaDoNotRefuseReadsOfOthers() {
+        gateway.reportQueue(2, 0, 1);
         for (int i = 0; i < 100; i++) {
-            gateway.now += MS;
-            gateway.report(2, 40, 46);
+            gateway.now += NANOS_PER_MILLI;
+            gateway.reportQueue(2, 40, 46);
         }
         gateway.request(ANY);
-        assertNotEquals(2, gateway.last());
-        assertEquals(0, gateway.count("refuse"));
+        assertNotEquals(2, gateway.lastServer());
+        assertEquals(0, gateway.countActions("refuse"));
     }
 
     @Test
-    void writesStillGoToAPrimaryThatRestsForItsErrors() {
-        for (int i = 0; i < 4 && !gateway.did("log server rests: errors"); i++) {
+    void sendsWritesToPrimaryEjectedForErrors() {
+        for (int i = 0; i < 4 && !gateway.hasAction("log server rests: errors"); i++) {
             gateway.outcome(gateway.request(WRITE), 0, 1, Result.ERROR);
         }
-        assertTrue(gateway.did("log server rests: errors"));
+        assertTrue(gateway.hasAction("log server rests: errors"));
         long id = gateway.request(WRITE);
-        assertTrue(gateway.did("send " + id + " to 1"));
+        assertTrue(gateway.hasAction("send " + id + " to 1"));
     }
 
     @Test
-    void anOverdueReadsServerIsAskedAndABadReportMovesTheRead() {
-        gateway = Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+    void probesServerOfOverdueReadAndRetriesAfterBadReport() {
+        gateway = RecordingGateway.start(
+                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
         long id = gateway.request(ANY);
-        gateway.pass(240);
-        assertEquals(1, gateway.count("probe 2"));
-        gateway.report(2, 30, 33);
-        gateway.pass(30);
-        assertEquals(2, gateway.count("send " + id + " "));
-        assertNotEquals(2, gateway.last());
+        gateway.advance(240);
+        assertEquals(1, gateway.countActions("probe 2"));
+        gateway.reportQueue(2, 30, 33);
+        gateway.advance(30);
+        assertEquals(2, gateway.countActions("send " + id + " "));
+        assertNotEquals(2, gateway.lastServer());
     }
 
     @Test
-    void anOverdueReadOfAServerThatReportsWellStays() {
-        gateway = Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+    void doesNotRetryOverdueReadAfterGoodReport() {
+        gateway = RecordingGateway.start(
+                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
         long id = gateway.request(ANY);
-        gateway.pass(300);
-        gateway.report(2, 0, 2);
-        gateway.pass(60);
-        assertEquals(1, gateway.count("send " + id + " "));
+        gateway.advance(300);
+        gateway.reportQueue(2, 0, 2);
+        gateway.advance(60);
+        assertEquals(1, gateway.countActions("send " + id + " "));
     }
 
     @Test
-    void inBadTimesAServerNotHeardOfLatelyIsAskedFirst() {
-        gateway = Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
-        gateway.report(2, 0, 1);
+    void probesServerBeforeUseInImpairedZone() {
+        gateway = RecordingGateway.start(
+                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway.reportQueue(2, 0, 1);
         for (int i = 0; i < 3; i++) {
             gateway.request(ANY);
-            gateway.pass(700);
-            gateway.report(2, 0, 1);
+            gateway.advance(700);
+            gateway.reportQueue(2, 0, 1);
         }
-        gateway.pass(2000);
-        long probes = gateway.count("probe 2");
+        gateway.advance(2000);
+        long probes = gateway.countActions("probe 2");
         long id = gateway.request(ANY);
-        assertEquals(0, gateway.count("send " + id + " to 2"));
-        assertTrue(gateway.count("probe") > probes);
-        gateway.report(2, 40, 43);
-        gateway.pass(100);
-        assertEquals(0, gateway.count("send " + id + " to 2"));
+        assertEquals(0, gateway.countActions("send " + id + " to 2"));
+        assertTrue(gateway.countActions("probe") > probes);
+        gateway.reportQueue(2, 40, 43);
+        gateway.advance(100);
+        assertEquals(0, gateway.countActions("send " + id + " to 2"));
     }
 
     @Test
-    void aDrainBindsThoughAnOlderListSaysOtherwise() {
-        other(11, Gateway.State.DRAINING);
-        other(11, Gateway.State.READY);
-        gateway.now += 600 * MS;
-        gateway.module.request(gateway.now, 9000, 5, 1, gateway.now + 2000 * MS, 0, false, ANY, 0);
-        assertEquals(0, gateway.count("send 9000 "));
+    void keepsDrainStateWhenOlderListContradicts() {
+        updateServerOfOtherGroup(11, Gateway.State.DRAINING);
+        updateServerOfOtherGroup(11, Gateway.State.READY);
+        gateway.now += 600 * NANOS_PER_MILLI;
+        gateway.module.request(gateway.now, 9000, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
+        assertEquals(0, gateway.countActions("send 9000 "));
     }
 
     @Test
-    void aServerOffTheListIsForgottenAfterAMinuteAndComesBackAsNew() {
-        other(11, Gateway.State.GONE);
-        gateway.now += 61_000 * MS;
+    void forgetsUnlistedServerAfterOneMinute() {
+        updateServerOfOtherGroup(11, Gateway.State.GONE);
+        gateway.now += 61_000 * NANOS_PER_MILLI;
         gateway.module.members(gateway.now, Gateway.ListKind.DELTA, List.of());
-        gateway.module.probed(gateway.now, 11, MS, Result.OK, null);
-        other(11, Gateway.State.READY);
-        gateway.module.request(gateway.now, 9000, 5, 1, gateway.now + 2000 * MS, 0, false, ANY, 0);
-        assertEquals(1, gateway.count("send 9000 to 11"));
+        gateway.module.probed(gateway.now, 11, NANOS_PER_MILLI, Result.OK, null);
+        updateServerOfOtherGroup(11, Gateway.State.READY);
+        gateway.module.request(gateway.now, 9000, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
+        assertEquals(1, gateway.countActions("send 9000 to 11"));
     }
 
     @Test
-    void manyGatewaysTogetherStayWithinAColdServersBudget() {
+    void manyGatewaysStayWithinBudgetOfColdServer() {
         int gateways = 50;
         long cold = 0;
         for (int g = 0; g < gateways; g++) {
-            Recorder one =
-                    Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, false, gateways), g);
+            RecordingGateway one = RecordingGateway.start(
+                    RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, false, gateways), g);
             for (int i = 0; i < 40; i++) {
-                one.pass(500);
-                one.served(ANY);
+                one.advance(500);
+                one.serve(ANY);
             }
             one.module.members(
                     one.now,
@@ -580,8 +591,8 @@
                     List.of(new Gateway.Member(2, 0, 0, 0, 1, one.now, false, Gateway.State.READY)));
             one.sentTo.clear();
             for (int i = 0; i < 3; i++) {
-                one.pass(500);
-                one.served(ANY);
+                one.advance(500);
+                one.serve(ANY);
             }
             cold += one.sentTo.stream().filter(s -> s == 2).count();
         }
@@ -589,58 +600,59 @@
     }
 
     @Test
-    void aServerThatRestedIsUsedOnlyAfterAGoodReport() {
-        gateway = Recorder.start(Recorder.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+    void usesEjectedServerOnlyAfterGoodReport() {
+        gateway = RecordingGateway.start(
+                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
         for (int i = 0; i < 2; i++) {
             gateway.outcome(gateway.request(ANY), 0, 2, Result.ERROR);
         }
-        gateway.pass(600);
-        assertNotEquals(2, gateway.served(ANY));
-        assertEquals(1, gateway.count("probe 2"));
-        gateway.report(2, 0, 0);
-        assertEquals(2, gateway.served(ANY));
+        gateway.advance(600);
+        assertNotEquals(2, gateway.serve(ANY));
+        assertEquals(1, gateway.countActions("probe 2"));
+        gateway.reportQueue(2, 0, 0);
+        assertEquals(2, gateway.serve(ANY));
     }
 
     @Test
-    void aWriteTurnedAwayAsFullWaitsAndIsTriedAgain() {
+    void retriesWriteLaterAfterRefusalAsFull() {
         long id = gateway.request(WRITE);
         gateway.outcome(id, 0, 1, Result.FULL);
-        assertEquals(1, gateway.count("send " + id + " "));
-        gateway.pass(120);
-        assertEquals(2, gateway.count("send " + id + " "));
+        assertEquals(1, gateway.countActions("send " + id + " "));
+        gateway.advance(120);
+        assertEquals(2, gateway.countActions("send " + id + " "));
     }
 
     @Test
-    void anAnswerInBetweenIsNoSilence() {
+    void doesNotEjectForSilenceWhenServerAnsweredOthers() {
         for (int i = 0; i < 20; i++) {
-            gateway.served(ANY);
+            gateway.serve(ANY);
         }
         for (int round = 0; round < 3; round++) {
             long stuck = gateway.request(ANY);
-            gateway.pass(100);
-            gateway.served(ANY);
-            gateway.pass(400);
+            gateway.advance(100);
+            gateway.serve(ANY);
+            gateway.advance(400);
             gateway.module.left(gateway.now, stuck);
         }
-        assertFalse(gateway.did("log server rests: silence"));
+        assertFalse(gateway.hasAction("log server rests: silence"));
     }
 
     @Test
-    void oneLongRequestIsNoSilenceAndGetsNoCopy() {
+    void neitherEjectsNorCopiesForOneLongRequest() {
         for (int i = 0; i < 20; i++) {
-            gateway.served(ANY);
+            gateway.serve(ANY);
         }
         long id = gateway.request(ANY);
         for (int i = 0; i < 30; i++) {
-            gateway.pass(20);
-            gateway.served(WRITE);
+            gateway.advance(20);
+            gateway.serve(WRITE);
         }
-        assertEquals(1, gateway.count("send " + id + " "));
-        assertFalse(gateway.did("log server rests: silence"));
+        assertEquals(1, gateway.countActions("send " + id + " "));
+        assertFalse(gateway.hasAction("log server rests: silence"));
     }
 
     @Test
-    void theNextRestIsLongerThoughAGoodAnswerCameBetween() {
+    void doublesEjectionDespiteGoodAnswerInBetween() {
         long[] rests = new long[2];
         for (int i = 0; i < 2; i++) {
             for (int attempt = 0; attempt < 2; attempt++) {
@@ -648,8 +660,8 @@
                 gateway.outcome(id, 0, 2, Result.ERROR);
                 gateway.module.left(gateway.now, id);
             }
-            while (gateway.served(ANY) != 2) {
-                gateway.pass(10);
+            while (gateway.serve(ANY) != 2) {
+                gateway.advance(10);
                 rests[i] += 10;
             }
         }
@@ -657,22 +669,22 @@
     }
 
     @Test
-    void whatStrikesTheWholeGroupSetsAtMostHalfOfItAside() {
+    void ejectsAtMostHalfOfGroup() {
         for (int i = 0; i < 60; i++) {
             long id = gateway.request(ANY);
-            gateway.outcome(id, 0, gateway.last(), Result.ERROR);
+            gateway.outcome(id, 0, gateway.lastServer(), Result.ERROR);
             gateway.module.left(gateway.now, id);
         }
-        assertTrue(gateway.count("log server rests") <= 2);
+        assertTrue(gateway.countActions("log server rests") <= 2);
         long id = gateway.request(ANY);
-        assertEquals(1, gateway.count("send " + id + " "));
+        assertEquals(1, gateway.countActions("send " + id + " "));
     }
 
     @Test
-    void aKeyedCopyIsNotSentAgainOutsideTheWindowOfWhatWasOutWhenItWent() {
+    void doesNotRepeatKeyedCopyOutsideWindowOfPendingAttempt() {
         gateway = start(Effect.KEYED, Scope.GROUP);
         for (int i = 0; i < 20; i++) {
-            gateway.served(WRITE);
+            gateway.serve(WRITE);
         }
         long first = gateway.request(WRITE);
         for (int i = 0; i < 2; i++) {
@@ -681,106 +693,107 @@
             gateway.outcome(failed, 0, 1, Result.ERROR);
         }
         long read = gateway.request(ANY);
-        gateway.outcome(read, 0, gateway.last(), Result.OK, gateway.now, Role.PRIMARY);
-        gateway.pass(400);
-        long sends = gateway.count("send " + first + " ");
-        assertEquals(2, sends, "no copy while its server rests");
+        gateway.outcome(read, 0, gateway.lastServer(), Result.OK, gateway.now, Role.PRIMARY);
+        gateway.advance(400);
+        long sends = gateway.countActions("send " + first + " ");
+        assertEquals(2, sends, "no copy while its server is ejected");
         gateway.outcome(first, 0, 1, Result.MISS, Gateway.NO_POSITION, Role.REPLICA);
-        gateway.now += 700 * MS;
-        gateway.outcome(first, 1, gateway.last(), Result.MISS, Gateway.NO_POSITION, Role.REPLICA);
-        gateway.pass(300);
-        assertEquals(sends, gateway.count("send " + first + " "));
+        gateway.now += 700 * NANOS_PER_MILLI;
+        gateway.outcome(first, 1, gateway.lastServer(), Result.MISS, Gateway.NO_POSITION, Role.REPLICA);
+        gateway.advance(300);
+        assertEquals(sends, gateway.countActions("send " + first + " "));
     }
 
     @Test
-    void aServerThatFailsQuicklyIsLeft() {
+    void ejectsServerAfterTwoErrors() {
         for (int i = 0; i < 2; i++) {
             long id = gateway.request(ANY);
             gateway.outcome(id, 0, 2, Result.ERROR);
-            assertNotEquals(2, gateway.last());
+            assertNotEquals(2, gateway.lastServer());
         }
-        assertTrue(gateway.did("log server rests: errors"));
+        assertTrue(gateway.hasAction("log server rests: errors"));
         gateway.request(ANY);
-        assertNotEquals(2, gateway.last());
+        assertNotEquals(2, gateway.lastServer());
     }
 
     @Test
-    void aServerNotUsedYetIsJudgedByItsSlowGroup() {
-        other(11, Gateway.State.READY);
+    void judgesUnusedServerByLatencyOfGroup() {
+        updateServerOfOtherGroup(11, Gateway.State.READY);
         for (int i = 0; i < 301; i++) {
-            gateway.pass(50);
-            gateway.served(SESSION);
+            gateway.advance(50);
+            gateway.serve(SESSION);
             if (i % 10 == 0) {
-                gateway.module.request(gateway.now, 9000 + i, 5, 1, gateway.now + 2000 * MS, 0, false, SESSION, 0);
+                gateway.module.request(
+                        gateway.now, 9000 + i, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, SESSION, 0);
                 gateway.module.outcome(
                         gateway.now,
                         9000 + i,
                         0,
                         11,
                         Result.OK,
-                        1900 * MS,
+                        1900 * NANOS_PER_MILLI,
                         true,
                         Gateway.NO_POSITION,
                         Role.UNKNOWN,
                         null);
             }
         }
-        other(11, Gateway.State.GONE);
-        other(13, Gateway.State.READY);
-        gateway.module.request(gateway.now, 9999, 5, 1, gateway.now + 2000 * MS, 0, false, ANY, 0);
-        assertTrue(gateway.did("refuse 9999"), "sent to a new member of a group that is far too slow");
+        updateServerOfOtherGroup(11, Gateway.State.GONE);
+        updateServerOfOtherGroup(13, Gateway.State.READY);
+        gateway.module.request(gateway.now, 9999, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
+        assertTrue(gateway.hasAction("refuse 9999"), "sent to a new member of a slow group");
         long id = gateway.request(ANY);
-        assertEquals(1, gateway.count("send " + id + " "), "the other group is as usual");
+        assertEquals(1, gateway.countActions("send " + id + " "), "the other group is not slow");
     }
 
-    private void other(long server, Gateway.State state) {
+    private void updateServerOfOtherGroup(long server, Gateway.State state) {
         gateway.module.members(
                 gateway.now, Gateway.ListKind.DELTA, List.of(new Gateway.Member(server, 1, 0, 0, 1, 0, false, state)));
     }
 
     @Test
-    void aSharedSlownessLocksNobodyOut() {
+    void acceptsRequestsAgainAfterSharedSlowness() {
         for (int i = 0; i < 80; i++) {
             long id = gateway.request(ANY);
-            if (gateway.did("send " + id + " to " + gateway.last())) {
+            if (gateway.hasAction("send " + id + " to " + gateway.lastServer())) {
                 gateway.module.outcome(
                         gateway.now,
                         id,
                         0,
-                        gateway.last(),
+                        gateway.lastServer(),
                         Result.OK,
-                        1500 * MS,
+                        1500 * NANOS_PER_MILLI,
                         true,
                         Gateway.NO_POSITION,
                         Role.UNKNOWN,
                         null);
             }
-            gateway.pass(20);
+            gateway.advance(20);
         }
         long refused = gateway.request(ANY);
-        assertTrue(gateway.did("refuse " + refused));
-        gateway.pass(4000);
+        assertTrue(gateway.hasAction("refuse " + refused));
+        gateway.advance(4000);
         long served = gateway.request(ANY);
-        assertEquals(1, gateway.count("send " + served + " "));
+        assertEquals(1, gateway.countActions("send " + served + " "));
     }
 
     @Test
-    void resetsAtServersThatGoOnAnsweringSetNoneAside() {
+    void doesNotEjectForResetsOfAnsweringServers() {
         for (int i = 0; i < 300; i++) {
             long id = gateway.request(ANY);
             if (i % 4 < 2) {
-                gateway.outcome(id, 0, gateway.last(), Result.RESET);
-                gateway.outcome(id, 1, gateway.last(), Result.OK);
+                gateway.outcome(id, 0, gateway.lastServer(), Result.RESET);
+                gateway.outcome(id, 1, gateway.lastServer(), Result.OK);
             } else {
-                gateway.outcome(id, 0, gateway.last(), Result.OK);
+                gateway.outcome(id, 0, gateway.lastServer(), Result.OK);
             }
-            gateway.pass(10);
+            gateway.advance(10);
         }
-        assertEquals(0, gateway.count("log server rests"));
+        assertEquals(0, gateway.countActions("log server rests"));
     }
 
     @Test
-    void whenAllServersAreThoughtColdTheirShareStillGrows() {
+    void growsBudgetsWhenAllServersAreCold() {
         for (long server = 1; server <= 4; server++) {
             gateway.module.members(
                     gateway.now,
@@ -789,33 +802,33 @@
         }
         for (int i = 0; i < 400; i++) {
             long id = gateway.request(ANY);
-            if (gateway.did("send " + id + " to " + (gateway.sentTo.isEmpty() ? 0 : gateway.last()))) {
-                gateway.outcome(id, 0, gateway.last(), Result.OK);
+            if (gateway.hasAction("send " + id + " to " + (gateway.sentTo.isEmpty() ? 0 : gateway.lastServer()))) {
+                gateway.outcome(id, 0, gateway.lastServer(), Result.OK);
             }
-            gateway.pass(10);
+            gateway.advance(10);
         }
         assertTrue(gateway.sentTo.size() > 40, gateway.sentTo.size() + " of 400 reads sent at all");
     }
 
     @Test
-    void aFewWaitingAtALocalReplicaDoNotSendReadsAway() {
-        gateway.report(2, 3, -1);
+    void keepsReadsLocalWithShortQueue() {
+        gateway.reportQueue(2, 3, -1);
         gateway.request(ANY);
-        assertEquals(2, gateway.last());
-        gateway.report(2, 12, -1);
+        assertEquals(2, gateway.lastServer());
+        gateway.reportQueue(2, 12, -1);
         gateway.request(ANY);
-        assertNotEquals(2, gateway.last());
+        assertNotEquals(2, gateway.lastServer());
     }
 
     @Test
-    void serversLongReplacedTakeNothingFromAColdOnesShare() {
-        long fewer = coldOfManyReads(0);
+    void replacedServersDoNotReduceBudgetOfColdServer() {
+        long fewer = countReadsToColdServer(0);
         assertTrue(fewer > 2, fewer + " reads to the cold server");
         gateway = start(Effect.UNSAFE, Scope.GROUP);
-        assertEquals((double) fewer, (double) coldOfManyReads(40), 1.0);
+        assertEquals((double) fewer, (double) countReadsToColdServer(40), 1.0);
     }
 
-    private long coldOfManyReads(int replaced) {
+    private long countReadsToColdServer(int replaced) {
         for (int i = 0; i < replaced; i++) {
             for (Gateway.State state : List.of(Gateway.State.READY, Gateway.State.GONE)) {
                 gateway.module.members(
@@ -829,63 +842,63 @@
                 Gateway.ListKind.DELTA,
                 List.of(new Gateway.Member(2, 0, 0, 0, 1, gateway.now, false, Gateway.State.READY)));
         for (int i = 0; i < 200; i++) {
-            gateway.served(ANY);
-            gateway.pass(10);
+            gateway.serve(ANY);
+            gateway.advance(10);
         }
         return gateway.sentTo.stream().filter(s -> s == 2).count();
     }
 
-    // The list.
+    // The list of servers.
 
     @Test
-    void aListThatMovedIsFollowedAtOnceAndItsOldFailuresForgotten() {
-        gateway = Recorder.start(Recorder.asked());
+    void watchesMovedListAtOnceAndResetsBackoff() {
+        gateway = RecordingGateway.start(RecordingGateway.settingsWithListOnRequest());
         for (int i = 0; i < 5; i++) {
             gateway.module.members(gateway.now, Gateway.ListKind.FAILED, List.of());
         }
         gateway.actions.clear();
         gateway.module.listMoved(gateway.now);
-        assertTrue(gateway.did("follow true"));
+        assertTrue(gateway.hasAction("follow true"));
         gateway.module.members(gateway.now, Gateway.ListKind.FAILED, List.of());
         gateway.actions.clear();
-        gateway.pass(760);
-        assertTrue(gateway.did("follow true"), "the first wait again");
+        gateway.advance(760);
+        assertTrue(gateway.hasAction("follow true"), "the wait after a first failure");
     }
 
     @Test
-    void whereListsArePushedAFailedCallIsMadeAgainWellWithinTheGraceHoweverOftenItFails() {
+    void retriesPushedListWithinDrainGraceAfterAnyNumberOfFailures() {
         for (int i = 0; i < 9; i++) {
             gateway.actions.clear();
             gateway.module.members(gateway.now, Gateway.ListKind.FAILED, List.of());
-            gateway.pass(250); // half of the grace
-            assertTrue(gateway.did("follow true"), "after " + (i + 1) + " failures");
+            gateway.advance(250); // half of the grace
+            assertTrue(gateway.hasAction("follow true"), "after " + (i + 1) + " failures");
         }
     }
 
     @Test
-    void aFailedListIsAskedForAgain() {
+    void requestsListAgainAfterFailure() {
         gateway.module.members(gateway.now, Gateway.ListKind.FAILED, List.of());
-        gateway.module.timer(gateway.now + 800 * MS, Long.MIN_VALUE + 1);
-        assertTrue(gateway.did("follow true"));
+        gateway.module.timer(gateway.now + 800 * NANOS_PER_MILLI, Long.MIN_VALUE + 1);
+        assertTrue(gateway.hasAction("follow true"));
     }
 
     // Determinism.
 
     @Test
-    void theSameEventsGiveTheSameActions() {
-        assertEquals(busyDay(), busyDay());
+    void isDeterministic() {
+        assertEquals(actionsOfBusyDay(), actionsOfBusyDay());
     }
 
-    private static List<String> busyDay() {
-        Recorder gateway = start(Effect.KEYED, Scope.GROUP);
+    private static List<String> actionsOfBusyDay() {
+        RecordingGateway gateway = start(Effect.KEYED, Scope.GROUP);
         List<Result> results = List.of(Result.values());
         for (int i = 0; i < 500; i++) {
             long id = gateway.request(i % 4, i % 13);
-            if (gateway.did("send " + id + " to " + gateway.last())) {
+            if (gateway.hasAction("send " + id + " to " + gateway.lastServer())) {
                 Result result = i * 7 % 3 == 0 ? results.get(i % results.size()) : Result.OK;
-                gateway.outcome(id, 0, gateway.last(), result, gateway.now, Role.UNKNOWN);
+                gateway.outcome(id, 0, gateway.lastServer(), result, gateway.now, Role.UNKNOWN);
             }
-            gateway.pass(10);
+            gateway.advance(10);
         }
         return gateway.actions;
     }
--- a/router/src/test/java/stoatrill/EmbeddingExampleTest.java
+++ b/router/src/test/java/stoatrill/EmbeddingExampleTest.java
@@ -8,62 +8,62 @@
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
 
-/** An example: a small gateway of one's own that drives the module. */
+/** Example of a minimal gateway that embeds the module. */
 class EmbeddingExampleTest {
 
-    /** Owns the clock and the timers, and "sends" to servers that answer 20 ms later. */
+    /** Owns the clock and the timers, and simulates servers that answer after 20 ms. */
     static final class TinyGateway implements Gateway {
-        private record Due(long at, Runnable what) {}
+        private record Task(long dueAt, Runnable action) {}
 
-        private final PriorityQueue<Due> agenda = new PriorityQueue<>(Comparator.comparingLong(Due::at));
+        private final PriorityQueue<Task> pendingTasks = new PriorityQueue<>(Comparator.comparingLong(Task::dueAt));
         final List<Long> usedServers = new ArrayList<>();
-        private long clock = 1_000_000_000L;
+        private long now = 1_000_000_000L;
         private Events module;
 
         void start(Settings settings, List<Member> servers) {
             module = new Decide(this, settings, 42);
-            module.members(clock, ListKind.CACHED, servers);
+            module.members(now, ListKind.CACHED, servers);
         }
 
-        void request(long id, int kind) {
-            module.request(clock, id, 0, 0, clock + 2_000_000_000L, 0, false, kind, 0);
+        void request(long id, int classIndex) {
+            module.request(now, id, 0, 0, now + 2_000_000_000L, 0, false, classIndex, 0);
         }
 
         void run(long span) {
-            long end = clock + span;
-            while (!agenda.isEmpty() && agenda.peek().at() <= end) {
-                Due due = agenda.poll();
-                clock = Math.max(clock, due.at());
-                due.what().run();
+            long end = now + span;
+            while (!pendingTasks.isEmpty() && pendingTasks.peek().dueAt() <= end) {
+                Task task = pendingTasks.poll();
+                now = Math.max(now, task.dueAt());
+                task.action().run();
             }
-            clock = end;
+            now = end;
         }
 
         @Override
         public void send(long request, long server, long timeout) {
             usedServers.add(server);
-            agenda.add(new Due(
-                    clock + 20_000_000L,
+            pendingTasks.add(new Task(
+                    now + 20_000_000L,
                     () -> module.outcome(
-                            clock,
+                            now,
                             request,
                             0,
                             server,
                             Result.OK,
                             20_000_000L,
                             true,
-                            clock,
+                            now,
                             server == 1 ? Role.PRIMARY : Role.REPLICA,
                             null)));
         }
 
         @Override
-        public void timer(long span, long token) {
-            agenda.add(new Due(clock + span, () -> module.timer(clock, token)));
+        public void timer(long delay, long token) {
+            pendingTasks.add(new Task(now + delay, () -> module.timer(now, token)));
         }
 
         @Override
-        public void refuse(long request, long comeBack) {}
+        public void refuse(long request, long retryAfter) {}
 
         @Override
         public void fail(long request) {}
@@ -81,7 +81,7 @@
         public void tell(int peer, byte[] message) {}
 
         @Override
-        public void follow(boolean on) {}
+        public void follow(boolean enabled) {}
 
         @Override
         public void fetch() {}
@@ -91,13 +91,16 @@
     }
 
     @Test
-    void aWriteGoesToThePrimaryAndAReadToTheLocalReplica() {
+    void sendsWriteToPrimaryAndReadToLocalReplica() {
         TinyGateway gateway = new TinyGateway();
         gateway.start(
-                Recorder.settings(Gateway.Effect.KEYED, Gateway.Scope.GROUP, Gateway.Check.NONE, true),
-                List.of(Recorder.member(1, 0, true), Recorder.member(2, 0, false), Recorder.member(3, 1, false)));
-        gateway.request(1, Recorder.WRITE);
-        gateway.request(2, Recorder.ANY);
+                RecordingGateway.settings(Gateway.Effect.KEYED, Gateway.Scope.GROUP, Gateway.Check.NONE, true),
+                List.of(
+                        RecordingGateway.member(1, 0, true),
+                        RecordingGateway.member(2, 0, false),
+                        RecordingGateway.member(3, 1, false)));
+        gateway.request(1, RecordingGateway.WRITE);
+        gateway.request(2, RecordingGateway.ANY);
         gateway.run(100_000_000L);
         assertEquals(List.of(1L, 2L), gateway.usedServers);
     }
--- a/router/src/test/java/stoatrill/ModuleSizeTest.java
+++ b/router/src/test/java/stoatrill/ModuleSizeTest.java
@@ -23,14 +23,14 @@
 import javax.tools.ToolProvider;
 import org.junit.jupiter.api.Test;
 
-/** The decision module must stay short enough to be read and signed within an hour, and no line is too long. */
+/** The decision module must be short enough to be reviewed within an hour, and no line may be too long. */
 class ModuleSizeTest {
-    /** 950 lines held 812 statements and declarations before names and comments were reworded. */
+    /** The module had 812 statements and declarations in 950 lines before its names and comments were reworded. */
     private static final int MOST_MODULE_STATEMENTS_COUNT = 812;
 
     private static final int MOST_COLUMNS = 120;
 
-    /** Counts the logic alone, so that whole names and comments don't take room from it. */
+    /** Counts statements and declarations, so that descriptive names and comments do not use up the limit. */
     @Test
     void theModuleKeepsItsLimit() throws IOException {
         int count = statementsAndDeclarations(Path.of("src/main/java/stoatrill/Decide.java"));
@@ -61,7 +61,7 @@
         return count.get();
     }
 
-    /** The formatter wraps code at this width and leaves comments and literals as they are. */
+    /** The formatter wraps code at this width but leaves comments and literals as they are. */
     @Test
     void noLineIsWiderThanTheFormattersWidth() throws IOException {
         List<String> tooLong = new ArrayList<>();
--- a/router/src/test/java/stoatrill/contract/ContractsTest.java
+++ b/router/src/test/java/stoatrill/contract/ContractsTest.java
@@ -17,17 +17,17 @@
 import stoatrill.settings.SettingsException;
 
 class ContractsTest {
-    private static final long MS = 1_000_000L;
-    private static final long S = 1000 * MS;
-    private static final long DAY = 86_400 * S;
-    private static final long START = 1_700_000_000L * S;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long SECOND_NANOS = 1000 * NANOS_PER_MILLI;
+    private static final long DAY_NANOS = 86_400 * SECOND_NANOS;
+    private static final long START = 1_700_000_000L * SECOND_NANOS;
 
     private static Accounts accounts(String text) throws SettingsException {
         return new Accounts(Contracts.parse("c", text), START);
     }
 
-    private static boolean admits(Accounts a, int team, long now) {
-        return a.admit(team, true, now) == Accounts.ADMITTED;
+    private static boolean admits(Accounts accounts, int team, long now) {
+        return accounts.admit(team, true, now) == Accounts.ADMITTED;
     }
 
     @ParameterizedTest
@@ -50,7 +50,7 @@
                         + "exactly with a burst of 1000000; round the rate to whole requests a second or minute, "
                         + "or lower the burst"
             })
-    void errorsSayWhereAndWhatToDo(String text, String problem) {
+    void reportsPositionAndRemedyOfErrors(String text, String problem) {
         List<String> problems = assertThrows(
                         SettingsException.class, () -> Contracts.parse("c", text.replace("\\n", "\n")))
                 .problems();
@@ -58,19 +58,19 @@
     }
 
     @Test
-    void whoIsUnknownIsRefusedOrStoodInFor() throws Exception {
+    void refusesUnknownTeamOrMapsItToDefault() throws Exception {
         assertEquals(-1, Contracts.parse("c", "team a {\n}\n").place("b"));
-        Contracts c = Contracts.parse("c", "team a {\n team x {\n }\n}\nteam rest {\n}\nunknown team rest\n");
-        assertEquals(c.place("rest"), c.place("b"));
-        assertEquals("a.x", c.all().get(c.place("a.x")).path());
+        Contracts contracts = Contracts.parse("c", "team a {\n team x {\n }\n}\nteam rest {\n}\nunknown team rest\n");
+        assertEquals(contracts.place("rest"), contracts.place("b"));
+        assertEquals("a.x", contracts.all().get(contracts.place("a.x")).path());
     }
 
     /**
-     * Whatever the times: in any span no more than the burst and what the rate gives, and no less when asked
-     * enough.
+     * Whatever the times of the requests: any span admits at most the burst plus the rate times the span, and a refused
+     * request is admitted exactly at the advised time.
      */
     @Property(tries = 300)
-    void aRateIsNeverPassedInAnySpanAndNeverHeldBack(
+    void admitsExactlyTheRateInAnySpan(
             @ForAll @LongRange(min = 1, max = 500_000_000L) long perDay,
             @ForAll @IntRange(min = 1, max = 50) int burst,
             @ForAll @Size(min = 1, max = 150) List<@LongRange(min = 0, max = 3_600_000_000_000L) Long> gaps) {
@@ -78,152 +78,156 @@
         List<Long> taken = new ArrayList<>();
         long now = START;
         for (long gap : gaps) {
-            now += gap % (gap % 2 == 0 ? 3_600_000_000_000L : 20 * MS);
-            if (bucket.has(now)) {
+            now += gap % (gap % 2 == 0 ? 3_600_000_000_000L : 20 * NANOS_PER_MILLI);
+            if (bucket.hasRoom(now)) {
                 bucket.take();
                 taken.add(now);
                 long from = now;
                 for (int i = taken.size() - 1; i >= 0; i--) {
-                    double most = burst + (double) (from - taken.get(i)) * perDay / DAY;
-                    assertTrue(taken.size() - i <= most + 1e-6, "over in a span of " + (from - taken.get(i)));
+                    double limit = burst + (double) (from - taken.get(i)) * perDay / DAY_NANOS;
+                    assertTrue(taken.size() - i <= limit + 1e-6, "exceeded in a span of " + (from - taken.get(i)));
                 }
             } else {
                 long ready = bucket.readyAt(now);
-                RateBucket then = copy(perDay, burst, taken);
-                assertTrue(!then.has(ready - 1) && copy(perDay, burst, taken).has(ready), "ready exactly then");
+                RateBucket bucketBefore = replay(perDay, burst, taken);
+                assertTrue(
+                        !bucketBefore.hasRoom(ready - 1)
+                                && replay(perDay, burst, taken).hasRoom(ready),
+                        "not ready exactly at the advised time");
             }
         }
     }
 
-    private static RateBucket copy(long perDay, int burst, List<Long> taken) {
+    private static RateBucket replay(long perDay, int burst, List<Long> taken) {
         RateBucket bucket = new RateBucket(perDay, burst, START);
         for (long at : taken) {
-            assertTrue(bucket.has(at));
+            assertTrue(bucket.hasRoom(at));
             bucket.take();
         }
         return bucket;
     }
 
     @Property(tries = 300)
-    void aBudgetIsNeverPassedInAnyWindowAndItsAdviceHolds(
-            @ForAll @IntRange(min = 1, max = 20) int most,
+    void neverExceedsBudgetInAnyWindowAndAdvisesWhenReady(
+            @ForAll @IntRange(min = 1, max = 20) int limit,
             @ForAll @Size(min = 1, max = 120) List<@LongRange(min = 0, max = 20_000_000_000L) Long> gaps) {
-        long window = 60 * S;
-        WindowBudget budget = new WindowBudget(most, window, START);
+        long window = 60 * SECOND_NANOS;
+        WindowBudget budget = new WindowBudget(limit, window, START);
         List<Long> taken = new ArrayList<>();
         long now = START;
         for (long gap : gaps) {
             now += gap;
-            if (budget.has(now)) {
+            if (budget.hasRoom(now)) {
                 budget.take();
                 taken.add(now);
                 long from = now - window;
-                assertTrue(taken.stream().filter(t -> t > from).count() <= most);
+                assertTrue(taken.stream().filter(t -> t > from).count() <= limit);
             } else {
                 long ready = budget.readyAt(now);
-                assertTrue(ready > now && ready <= now + window * 66 / 64 + S, "ready in " + (ready - now));
+                assertTrue(ready > now && ready <= now + window * 66 / 64 + SECOND_NANOS, "ready in " + (ready - now));
                 if (gap % 3 == 0) {
                     now = ready;
-                    assertTrue(budget.has(now), "there is room when the advice said so");
+                    assertTrue(budget.hasRoom(now), "no room at the advised time");
                 }
             }
         }
     }
 
-    /** Taking and giving back leaves everything as it was: the same requests are admitted afterwards. */
+    /** Charging and refunding leave the accounts unchanged: the same requests are admitted afterwards. */
     @Property(tries = 200)
-    void givingBackIsExact(@ForAll @Size(min = 1, max = 80) List<@IntRange(min = 0, max = 400) Integer> steps)
+    void refundRestoresExactState(@ForAll @Size(min = 1, max = 80) List<@IntRange(min = 0, max = 400) Integer> steps)
             throws Exception {
         String text = "team a {\n rate 7/s\n burst 9\n budget 40 per 30s\n team x {\n rate 5/s\n burst 4\n }\n}\n";
         Accounts plain = accounts(text);
-        Accounts often = accounts(text);
+        Accounts refunded = accounts(text);
         long now = START;
         for (int step : steps) {
-            now += step * MS;
-            if (admits(often, 1, now)) {
-                often.charge(1, true, now);
-                often.giveBack(1, true, now);
-                often.giveBack(1, true, now);
+            now += step * NANOS_PER_MILLI;
+            if (admits(refunded, 1, now)) {
+                refunded.charge(1, true, now);
+                refunded.giveBack(1, true, now);
+                refunded.giveBack(1, true, now);
             }
-            assertEquals(plain.admit(1, true, now), often.admit(1, true, now));
-            assertEquals(plain.spent(0, now), often.spent(0, now));
+            assertEquals(plain.admit(1, true, now), refunded.admit(1, true, now));
+            assertEquals(plain.spent(0, now), refunded.spent(0, now));
         }
     }
 
     @Test
-    void aRequestIsChargedToAllAboveItOrToNone() throws Exception {
-        Accounts a = accounts("team a {\n budget 3 per 1h\n team x {\n rate 1/h\n burst 2\n }\n team y {\n }\n}\n");
-        assertTrue(admits(a, 1, START), "the first");
-        assertTrue(admits(a, 1, START), "the second");
-        long ready = a.admit(1, true, START);
-        assertEquals(START + 3600 * S, ready);
-        assertEquals(2, a.spent(0, START), "what was refused costs nobody");
-        assertTrue(admits(a, 2, START));
-        assertTrue(a.admit(2, true, START) > START, "the team above has no more");
+    void chargesAllAncestorsOrNone() throws Exception {
+        Accounts accounts =
+                accounts("team a {\n budget 3 per 1h\n team x {\n rate 1/h\n burst 2\n }\n team y {\n }\n}\n");
+        assertTrue(admits(accounts, 1, START), "the first");
+        assertTrue(admits(accounts, 1, START), "the second");
+        long ready = accounts.admit(1, true, START);
+        assertEquals(START + 3600 * SECOND_NANOS, ready);
+        assertEquals(2, accounts.spent(0, START), "a refused request was charged");
+        assertTrue(admits(accounts, 2, START));
+        assertTrue(accounts.admit(2, true, START) > START, "the team above has spent its budget");
     }
 
     @Test
-    void beyondTheRateOnlyAShortGroupRefuses() throws Exception {
-        Accounts a = accounts("team a {\n rate 1/s\n burst 1\n over when-short\n}\n");
+    void refusesBeyondRateOnlyWhenGroupIsShort() throws Exception {
+        Accounts accounts = accounts("team a {\n rate 1/s\n burst 1\n over when-short\n}\n");
         for (int i = 0; i < 100; i++) {
-            assertEquals(Accounts.ADMITTED, a.admit(0, false, START));
+            assertEquals(Accounts.ADMITTED, accounts.admit(0, false, START));
         }
-        assertTrue(admits(a, 0, START), "what was lent is no debt");
-        assertEquals(START + S, a.admit(0, true, START));
+        assertTrue(admits(accounts, 0, START), "requests beyond the rate left a debt");
+        assertEquals(START + SECOND_NANOS, accounts.admit(0, true, START));
     }
 
     @Test
-    void aBurstRoundMidnightPassesNoWindow() throws Exception {
-        Accounts a = accounts("team a {\n budget 100 per 1d\n}\n");
-        long midnight = (START / DAY + 1) * DAY;
+    void limitsBurstAcrossMidnight() throws Exception {
+        Accounts accounts = accounts("team a {\n budget 100 per 1d\n}\n");
+        long midnight = (START / DAY_NANOS + 1) * DAY_NANOS;
         int admitted = 0;
-        for (long now = midnight - 60 * S; now < midnight + 60 * S; now += S / 2) {
-            admitted += admits(a, 0, now) ? 1 : 0;
+        for (long now = midnight - 60 * SECOND_NANOS; now < midnight + 60 * SECOND_NANOS; now += SECOND_NANOS / 2) {
+            admitted += admits(accounts, 0, now) ? 1 : 0;
         }
         assertEquals(100, admitted);
-        assertTrue(admits(a, 0, midnight + DAY + DAY / 32));
+        assertTrue(admits(accounts, 0, midnight + DAY_NANOS + DAY_NANOS / 32));
     }
 
     @Test
-    void aReloadForgetsNoSpending() throws Exception {
-        Accounts a = accounts("team a {\n rate 10/s\n burst 40\n budget 100 per 1h\n}\n");
+    void reloadKeepsSpending() throws Exception {
+        Accounts accounts = accounts("team a {\n rate 10/s\n burst 40\n budget 100 per 1h\n}\n");
         for (int i = 0; i < 30; i++) {
-            assertTrue(admits(a, 0, START));
+            assertTrue(admits(accounts, 0, START));
         }
         Accounts halved = new Accounts(
                 Contracts.parse("c", "team new {\n}\nteam a {\n rate 5/s\n burst 20\n budget 50 per 1h\n}\n"),
-                a,
+                accounts,
                 START);
-        assertTrue(halved.admit(1, true, START) > START, "30 of a burst of 20 are spent");
+        assertTrue(halved.admit(1, true, START) > START, "30 requests of a burst of 20 are spent");
         assertEquals(30, halved.spent(1, START));
         int more = 0;
-        for (long now = START; now < START + 600 * S; now += S) {
+        for (long now = START; now < START + 600 * SECOND_NANOS; now += SECOND_NANOS) {
             more += admits(halved, 1, now) ? 1 : 0;
         }
-        assertEquals(20, more, "what is left of the halved budget");
-        assertTrue(admits(halved, 0, START + 600 * S), "a team that is new has spent nothing");
+        assertEquals(20, more, "the rest of the halved budget");
+        assertTrue(admits(halved, 0, START + 600 * SECOND_NANOS), "a new team has spent nothing");
     }
 
     @Test
-    void afterAHundredYearsARateIsAsExactAsAtFirst() {
+    void rateStaysExactForAHundredYears() {
         RateBucket bucket = new RateBucket(7, 1, START);
         long now = START;
         long taken = 0;
         while (taken < 7L * 36_500) {
             now = bucket.readyAt(now);
-            assertTrue(bucket.has(now));
+            assertTrue(bucket.hasRoom(now));
             bucket.take();
             taken++;
         }
-        long off = Math.abs(now - (START + 36_500 * DAY - DAY / 7));
-        assertTrue(off <= 7L * 36_500, "off by " + off + " ns, more than a nanosecond a request");
+        long off = Math.abs(now - (START + 36_500 * DAY_NANOS - DAY_NANOS / 7));
+        assertTrue(off <= 7L * 36_500, "off by " + off + " ns, more than one nanosecond for each request");
     }
 
     @Test
-    void tenThousandTeamsThreeDeep() throws Exception {
+    void handlesTenThousandTeamsInThreeLevels() throws Exception {
         StringBuilder text = new StringBuilder();
-        for (int a = 0; a < 10; a++) {
-            text.append("team t").append(a).append(" {\n share 10%\n rate 1000/s\n");
+        for (int accounts = 0; accounts < 10; accounts++) {
+            text.append("team t").append(accounts).append(" {\n share 10%\n rate 1000/s\n");
             for (int b = 0; b < 9; b++) {
                 text.append(" team u").append(b).append(" {\n share 1%\n rate 100/s\n");
                 for (int c = 0; c < 110; c++) {
@@ -235,11 +239,11 @@
         }
         Contracts contracts = Contracts.parse("c", text.toString());
         assertEquals(10 + 90 + 9900, contracts.all().size());
-        Accounts a = new Accounts(contracts, START);
+        Accounts accounts = new Accounts(contracts, START);
         int admitted = 0;
         for (int team = 0; team < contracts.all().size(); team++) {
-            admitted += contracts.all().get(team).path().startsWith("t3.u4.") && admits(a, team, START) ? 1 : 0;
+            admitted += contracts.all().get(team).path().startsWith("t3.u4.") && admits(accounts, team, START) ? 1 : 0;
         }
-        assertEquals(100, admitted, "110 may, and the team above them 100 at once");
+        assertEquals(100, admitted, "110 teams may send one each, and the team above them 100 at once");
     }
 }
--- a/router/src/test/java/stoatrill/overload/TenantAllowancesTest.java
+++ b/router/src/test/java/stoatrill/overload/TenantAllowancesTest.java
@@ -7,33 +7,33 @@
 import org.junit.jupiter.api.Test;
 
 class TenantAllowancesTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     @Test
-    void withoutTenantsNothingIsBeyondAnAllowance() {
-        assertFalse(new TenantAllowances(new double[0]).exceeds(0, SECOND));
+    void neverExceedsWithoutTenants() {
+        assertFalse(new TenantAllowances(new double[0]).exceeds(0, SECOND_NANOS));
     }
 
     @Test
-    void aBurstPassesAndThenTheRateHolds() {
+    void permitsBurstThenLimitsToRate() {
         TenantAllowances tenants = new TenantAllowances(new double[] {10, 1});
         tenants.start(0);
         assertFalse(tenants.exceeds(0, 0));
         assertFalse(tenants.exceeds(0, 0));
         assertTrue(tenants.exceeds(0, 0));
-        int passed = 0;
-        for (long now = SECOND / 100; now <= 100 * SECOND; now += SECOND / 100) {
-            passed += tenants.exceeds(0, now) ? 0 : 1;
+        int permitted = 0;
+        for (long now = SECOND_NANOS / 100; now <= 100 * SECOND_NANOS; now += SECOND_NANOS / 100) {
+            permitted += tenants.exceeds(0, now) ? 0 : 1;
         }
-        assertEquals(1000, passed, 2);
+        assertEquals(1000, permitted, 2);
     }
 
     @Test
-    void oneTenantSpendsNothingOfAnother() {
+    void keepsTenantsSeparate() {
         TenantAllowances tenants = new TenantAllowances(new double[] {10, 1});
         tenants.start(0);
         while (!tenants.exceeds(0, 0)) {
-            // spends all
+            // uses up the bucket
         }
         assertFalse(tenants.exceeds(1, 0));
     }
