--- a/router/src/main/java/stoatrill/core/Answer.java
+++ b/router/src/main/java/stoatrill/core/Answer.java
@@ -4,21 +4,21 @@
 public sealed interface Answer {
 
     /**
-     * Served, with the bytes that a server gave for this very request. The array is handed over, not copied, and is
-     * not to be changed.
+     * Served, with the bytes that a server returned for this request. The array is handed over without a copy and must
+     * not be modified.
      */
-    @SuppressWarnings("ArrayRecordComponent") // carries bytes to a socket uncopied; never compared
+    @SuppressWarnings("ArrayRecordComponent") // passes bytes to a socket without a copy; never compared
     record Served(byte[] value) implements Answer {}
 
-    /** Turned away: trying again is harmless, after so many milliseconds if positive. */
+    /** Refused: a repeat is harmless, and advised after {@code comeBackMillis} if that is positive. */
     record Refused(long comeBackMillis) implements Answer {}
 
-    /** Failed, with no promise about its effect. */
+    /** Failed; the request may or may not have had an effect. */
     record Failed(String why) implements Answer {}
 
-    /** Taken back by the client, with no promise about its effect. */
+    /** Cancelled by the client; the request may or may not have had an effect. */
     record Cancelled() implements Answer {}
 
-    /** Not a request that this router can take. */
+    /** Not a request that this router can handle. */
     record Invalid(String why) implements Answer {}
 }
--- a/router/src/main/java/stoatrill/core/Attempt.java
+++ b/router/src/main/java/stoatrill/core/Attempt.java
@@ -2,40 +2,44 @@
 
 import stoatrill.core.Deadlines.Deadline;
 
-/** One try of a request at one server, or a probe of it if {@code request} is null. */
+/** One attempt of a request at one server, or a probe of that server if {@code request} is null. */
 final class Attempt {
     enum State {
-        WAITING,
+        AWAITING_CONNECTION,
+        /** It has a connection, but its last byte is not written. */
         WRITING,
-        OUT,
+        WRITTEN,
         ENDED
     }
 
     final Request request;
     final int number;
     final ServerPool.Server server;
-    final long sentAt;
-    State state = State.WAITING;
+    /** When the module asked for it. */
+    final long createdAt;
+
+    State state = State.AWAITING_CONNECTION;
+    /** Whether the server may have run it, by its outcome. */
     boolean mayHaveRun;
-    /** How long its server was told that the answer is waited for. */
-    long toldMillis;
-    /** When the gate last let it go out. */
+    /** How long the server was told that the router waits for the answer. */
+    long announcedWaitMillis;
+    /** When the request gate last permitted its write. */
     long permittedAt;
 
     ServerPool.Connection connection;
-    Deadline timeout;
-    Deadline connectBy;
+    Deadline timeoutDeadline;
+    Deadline connectDeadline;
 
-    Attempt(Request request, int number, ServerPool.Server server, long sentAt) {
+    Attempt(Request request, int number, ServerPool.Server server, long createdAt) {
         this.request = request;
         this.number = number;
         this.server = server;
-        this.sentAt = sentAt;
-        this.permittedAt = sentAt;
+        this.createdAt = createdAt;
+        this.permittedAt = createdAt;
     }
 
-    /** Whether the server may have run it: by its outcome, or because its last byte is out. */
+    /** Whether the server may have run it: by its outcome, or because its last byte is written. */
     boolean mayHaveRunByNow() {
-        return mayHaveRun || state == State.OUT;
+        return mayHaveRun || state == State.WRITTEN;
     }
 }
--- a/router/src/main/java/stoatrill/core/Break.java
+++ b/router/src/main/java/stoatrill/core/Break.java
@@ -1,11 +1,11 @@
 package stoatrill.core;
 
-/** How a connection to a server came to be of no more use. */
+/** Why a connection to a server became unusable. */
 public enum Break {
-    /** It ended, or never came up. */
+    /** It ended, or was never established. */
     ENDED,
-    /** The server turned it away because it holds too many. */
+    /** The server refused it because it has too many connections. */
     FULL,
-    /** The server sent what can't be read. */
+    /** The server sent data that can't be parsed. */
     SPOILT
 }
--- a/router/src/main/java/stoatrill/core/ClientRequest.java
+++ b/router/src/main/java/stoatrill/core/ClientRequest.java
@@ -1,17 +1,18 @@
 package stoatrill.core;
 
 /**
- * A request as a client protocol understood it.
+ * A client's request, as parsed by a client protocol.
  *
- * @param id what the client calls it; no two open at once may share one
- * @param kind the name of its class
+ * @param id chosen by the client; unique among the open requests
+ * @param kind the name of its request class
  * @param key the session, or the record asked for
  * @param group the group of servers that may serve it
- * @param waitMillis how long the client waits
+ * @param waitMillis how long the client waits for the answer
  * @param afterMillis Unix time of the session's last write; 0 if it has none
  * @param repeat whether the client marked it as a repeat
  * @param writes whether the statement changes data
- * @param team who asks, by the path of its contract; empty if the client did not say
+ * @param statement the statement to send to a server
+ * @param team the requesting team, by the path of its contract; empty if the client named none
  */
 public record ClientRequest(
         String id,
@@ -25,7 +26,7 @@
         Statement statement,
         String team) {
 
-    /** A request whose client did not say for whom it asks. */
+    /** Creates a request without a team. */
     public ClientRequest(
             String id,
             String kind,
@@ -39,10 +40,10 @@
         this(id, kind, key, group, waitMillis, afterMillis, repeat, writes, statement, "");
     }
 
-    /** The same request, for a team that was named elsewhere; one that the request names itself goes before. */
-    public ClientRequest by(String other) {
-        return team.isEmpty() && !other.isEmpty()
-                ? new ClientRequest(id, kind, key, group, waitMillis, afterMillis, repeat, writes, statement, other)
+    /** Returns this request for the given team, unless the request names a team itself. */
+    public ClientRequest by(String otherTeam) {
+        return team.isEmpty() && !otherTeam.isEmpty()
+                ? new ClientRequest(id, kind, key, group, waitMillis, afterMillis, repeat, writes, statement, otherTeam)
                 : this;
     }
 }
--- a/router/src/main/java/stoatrill/core/Clocks.java
+++ b/router/src/main/java/stoatrill/core/Clocks.java
@@ -1,42 +1,44 @@
 package stoatrill.core;
 
 /**
- * The one place where the wall clock, in which peers state times, meets the module's monotonic clock. The
- * module's clock starts at the wall clock's value and from then on follows the monotonic source alone.
+ * Converts between the wall clock, in which peers state times, and the module's monotonic clock. No other class does.
+ * The module's clock starts at the wall clock's value and afterwards follows only the monotonic source.
  */
 public final class Clocks {
-    private static final long MILLI = 1_000_000L;
-    private final long origin;
-    private long ahead;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private final long monotonicOffset;
+    private long aheadOfWallNanos;
 
-    /** Both readings are in nanoseconds and were taken together. */
+    /** Both readings are in nanoseconds and taken at the same time. */
     public Clocks(long wall, long monotonic) {
-        this.origin = wall - monotonic;
+        this.monotonicOffset = wall - monotonic;
     }
 
     /** The module's time for a reading of the monotonic source. */
     public long now(long monotonic) {
-        return origin + monotonic;
+        return monotonicOffset + monotonic;
     }
 
     /**
-     * Takes a new pair of readings; guards against a wall clock that is stepped or drifts. Returns by how much the wall
-     * clock has gone ahead of the monotonic one since the last pair.
+     * Updates the offset between the clocks from a new pair of readings, because the wall clock may step or drift.
+     * Returns by how much the wall clock has advanced more than the monotonic one since the last pair.
      */
     public long compare(long wall, long monotonic) {
-        long before = ahead;
-        ahead = now(monotonic) - wall;
-        return before - ahead;
+        long previousAhead = aheadOfWallNanos;
+        aheadOfWallNanos = now(monotonic) - wall;
+        return previousAhead - aheadOfWallNanos;
     }
 
     /** The module's time for Unix milliseconds. */
     public long fromWallMillis(long millis) {
-        return millis * MILLI + ahead;
+        return millis * NANOS_PER_MILLI + aheadOfWallNanos;
     }
 
     /** The module's time for Unix seconds, rounded down: a position is a lower bound. */
     public long fromWallSeconds(double seconds) {
-        long whole = (long) Math.floor(seconds);
-        return whole * 1_000_000_000L + (long) Math.floor(Math.nextDown(seconds - whole) * 1e9) + ahead;
+        long wholeSeconds = (long) Math.floor(seconds);
+        return wholeSeconds * 1_000_000_000L
+                + (long) Math.floor(Math.nextDown(seconds - wholeSeconds) * 1e9)
+                + aheadOfWallNanos;
     }
 }
--- a/router/src/main/java/stoatrill/core/ContractGate.java
+++ b/router/src/main/java/stoatrill/core/ContractGate.java
@@ -7,17 +7,17 @@
 import stoatrill.contract.Contracts;
 
 /**
- * Holds requests to their teams' contracts before the module sees them: admits, or tells when to come back. It
- * joins the accounts, which are pure, with what the reducer sees of requests and attempts.
+ * Enforces the teams' contracts before the module sees a request: admits it, or tells after what wait to retry. It
+ * connects the accounts, which keep only the bookkeeping, with the requests and attempts that the reducer sees.
  */
 final class ContractGate {
-    /** A group counts as short for so long after the module has refused one of its requests. */
-    private static final long SHORT_FOR = 200_000_000L;
-    /** The part of the wait by which a team's clients are spread, so that they don't come back as one. */
-    private static final double SPREAD = 0.25;
+    /** How long a group counts as short of capacity after the module refused one of its requests. */
+    private static final long SHORT_STATE_NANOS = 200_000_000L;
+    /** Jitter as a share of the wait, so that a team's clients don't all retry at the same time. */
+    private static final double WAIT_JITTER_SHARE = 0.25;
 
     private final SplittableRandom random;
-    private final Map<Integer, Long> shortUntil = new HashMap<>();
+    private final Map<Integer, Long> shortUntilByGroup = new HashMap<>();
     private Accounts accounts;
 
     ContractGate(Contracts contracts, long seed, long now) {
@@ -25,9 +25,9 @@
         this.accounts = new Accounts(contracts, now);
     }
 
-    /** Puts new contracts in the place of the old ones; what was spent goes on counting. */
+    /** Replaces the contracts; what was spent under the old ones still counts. */
     void reload(Contracts contracts, long now) {
-        // Requests under way hold on to the accounts that charged them: none is given back into another's.
+        // Open requests keep the accounts that charged them, so that no refund goes to other accounts.
         accounts = new Accounts(contracts, accounts, now);
     }
 
@@ -35,24 +35,24 @@
         return accounts;
     }
 
-    /** The place of a team; negative if it has no contract and none stands in for it. */
-    int team(String path) {
+    /** The index of a team; negative if it has no contract and no other contract covers it. */
+    int teamIndex(String path) {
         return accounts.contracts().place(path);
     }
 
     boolean isShort(int group, long now) {
-        return shortUntil.getOrDefault(group, Long.MIN_VALUE) > now;
+        return shortUntilByGroup.getOrDefault(group, Long.MIN_VALUE) > now;
     }
 
-    void refused(int group, long now) {
-        shortUntil.put(group, now + SHORT_FOR);
+    void markShort(int group, long now) {
+        shortUntilByGroup.put(group, now + SHORT_STATE_NANOS);
     }
 
-    /** Admits and charges, which gives 0, or tells how long to wait in nanoseconds. */
-    long admit(int team, boolean groupShort, long now) {
-        long ready = accounts.admit(team, groupShort, now);
-        return ready == Accounts.ADMITTED
+    /** Admits and charges the request and returns 0, or returns how long to wait in nanoseconds. */
+    long admit(int teamIndex, boolean isGroupShort, long now) {
+        long readyAt = accounts.admit(teamIndex, isGroupShort, now);
+        return readyAt == Accounts.ADMITTED
                 ? 0
-                : Math.max(1, (long) ((ready - now) * (1 + SPREAD * random.nextDouble())));
+                : Math.max(1, (long) ((readyAt - now) * (1 + WAIT_JITTER_SHARE * random.nextDouble())));
     }
 }
--- a/router/src/main/java/stoatrill/core/Deadlines.java
+++ b/router/src/main/java/stoatrill/core/Deadlines.java
@@ -3,205 +3,214 @@
 import java.util.Arrays;
 
 /**
- * Every deadline of the router in one structure, swept each turn. Most are taken back long before they are due, so
- * those further away lie unsorted in rings of 67 ms, where adding and taking back touch two neighbours; only what
- * is due within the next two such spans stands in order, in a small heap whose entries know their places.
+ * All deadlines of the router in one timer queue, swept in each turn of the event loop. Most deadlines are cancelled
+ * long before they are due. Later ones are therefore kept unsorted in linked lists, one for each bucket of 67 ms, where
+ * adding and cancelling touch at most two neighbours. Only deadlines of the current and the next bucket are sorted, in
+ * a small heap whose entries know their index.
  *
- * <p>The idea of sorting late is that of the timing wheel (Varghese and Lauck, 1987); the heap keeps exact times
- * and the order of equal ones.
+ * <p>Sorting late is the idea of the timing wheel (Varghese and Lauck, 1987). The heap keeps exact times and the order
+ * of equal ones.
  */
 public final class Deadlines {
-    private static final int BRANCHES = 4;
-    private static final int SHIFT = 26; // a span is 67 ms
-    private static final int RINGS = 512; // and all of them 34 s: what is further away goes to the heap at once
-    private static final int GONE = -1;
-    private static final int RING = -2;
+    private static final int HEAP_BRANCH_COUNT = 4;
+    private static final int BUCKET_SHIFT_BITS = 26; // a bucket spans 67 ms
+    private static final int BUCKET_COUNT = 512; // 34 s in all; later deadlines go to the heap at once
+    private static final int REMOVED_INDEX = -1;
+    private static final int IN_BUCKET_INDEX = -2;
 
-    /** A deadline that is still to come, or has passed; {@link #cancel} takes it back. */
+    /** A deadline, pending or passed. */
     public final class Deadline {
-        private final long at;
-        private final long order;
+        private final long dueAt;
+        private final long sequence;
         private final Runnable action;
-        private int place;
-        private Deadline before;
-        private Deadline after;
+        /** Its index in the heap, or {@link #IN_BUCKET_INDEX} or {@link #REMOVED_INDEX}. */
+        private int heapIndex;
 
-        private Deadline(long at, long order, Runnable action) {
-            this.at = at;
-            this.order = order;
+        private Deadline previous;
+        private Deadline next;
+
+        private Deadline(long dueAt, long sequence, Runnable action) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
             this.action = action;
         }
 
-        private boolean sooner(Deadline o) {
-            return at != o.at ? at < o.at : order < o.order;
+        private boolean isBefore(Deadline other) {
+            return dueAt != other.dueAt ? dueAt < other.dueAt : sequence < other.sequence;
         }
 
-        /** Takes it back; of no effect once it has passed. */
+        /** Cancels the deadline; has no effect once it has passed. */
         public void cancel() {
-            if (place == RING) {
-                leave(this);
-            } else if (place >= 0) {
-                remove(this);
+            if (heapIndex == IN_BUCKET_INDEX) {
+                removeFromBucket(this);
+            } else if (heapIndex >= 0) {
+                removeFromHeap(this);
             }
         }
     }
 
-    private final Deadline[] rings = new Deadline[RINGS];
-    private int inRings;
+    private final Deadline[] buckets = new Deadline[BUCKET_COUNT];
+    private int bucketedCount;
     private Deadline[] heap = new Deadline[64];
-    private int size;
-    private long orders;
-    /** The span that the last sweep was in; the heap holds all of it and of the next. */
-    private long span = Long.MIN_VALUE / 2;
+    private int heapSize;
+    private long nextSequence;
+    /** The bucket of the last sweep's time; the heap holds all deadlines of this bucket and the next. */
+    private long currentBucket = Long.MIN_VALUE / 2;
 
-    /** Runs the action in the first sweep at or after that time; equal times keep the order of these calls. */
+    /** Runs the action in the first sweep at or after the given time; equal times keep the order of these calls. */
     public Deadline at(long time, Runnable action) {
-        Deadline deadline = new Deadline(time, orders++, action);
-        long ahead = (time >> SHIFT) - span;
-        if (ahead > 1 && ahead < RINGS) {
-            enter(deadline);
+        Deadline deadline = new Deadline(time, nextSequence++, action);
+        long bucketsAhead = (time >> BUCKET_SHIFT_BITS) - currentBucket;
+        if (bucketsAhead > 1 && bucketsAhead < BUCKET_COUNT) {
+            addToBucket(deadline);
         } else {
-            push(deadline);
+            addToHeap(deadline);
         }
         return deadline;
     }
 
-    /** Runs what is due. What the actions add for now or earlier waits for the next sweep. */
+    /** Runs the actions that are due. Deadlines that these add for now or earlier wait for the next sweep. */
     public void sweep(long now) {
-        move(now >> SHIFT);
-        long before = orders;
-        while (size > 0 && heap[0].at <= now && heap[0].order < before) {
+        advanceTo(now >> BUCKET_SHIFT_BITS);
+        long sequenceAtStart = nextSequence;
+        while (heapSize > 0 && heap[0].dueAt <= now && heap[0].sequence < sequenceAtStart) {
             Deadline first = heap[0];
-            remove(first);
+            removeFromHeap(first);
             first.action.run();
         }
     }
 
-    /** When the next deadline passes; {@link Long#MAX_VALUE} if there is none. */
+    /** When the next deadline is due; {@link Long#MAX_VALUE} if there is none. */
     public long next() {
-        if (size > 0 || inRings == 0) {
-            long soonest = size == 0 ? Long.MAX_VALUE : heap[0].at;
-            return inRings == 0 || soonest >> SHIFT <= span + 1 ? soonest : Math.min(soonest, inRings());
+        if (heapSize > 0 || bucketedCount == 0) {
+            long earliest = heapSize == 0 ? Long.MAX_VALUE : heap[0].dueAt;
+            return bucketedCount == 0 || earliest >> BUCKET_SHIFT_BITS <= currentBucket + 1
+                    ? earliest
+                    : Math.min(earliest, earliestInBuckets());
         }
-        return inRings();
+        return earliestInBuckets();
     }
 
-    /** The earliest in the rings; looked for only while nothing is due soon. */
-    private long inRings() {
-        for (long s = span + 2; s < span + RINGS; s++) {
-            long soonest = Long.MAX_VALUE;
-            for (Deadline d = rings[(int) (s & (RINGS - 1))]; d != null; d = d.after) {
-                soonest = Math.min(soonest, d.at);
+    /** The earliest deadline in the buckets; searched only while the heap has none in the current or next bucket. */
+    private long earliestInBuckets() {
+        for (long bucket = currentBucket + 2; bucket < currentBucket + BUCKET_COUNT; bucket++) {
+            long earliest = Long.MAX_VALUE;
+            for (Deadline deadline = buckets[(int) (bucket & (BUCKET_COUNT - 1))];
+                    deadline != null;
+                    deadline = deadline.next) {
+                earliest = Math.min(earliest, deadline.dueAt);
             }
-            if (soonest != Long.MAX_VALUE) {
-                return soonest;
+            if (earliest != Long.MAX_VALUE) {
+                return earliest;
             }
         }
         return Long.MAX_VALUE;
     }
 
-    /** Puts into the heap what has come near. */
-    private void move(long to) {
-        if (to <= span) {
+    /** Moves the deadlines of buckets that have become current or next to the heap. */
+    private void advanceTo(long targetBucket) {
+        if (targetBucket <= currentBucket) {
             return;
         }
-        for (long s = span + 2; inRings > 0 && s <= to + 1 && s < span + RINGS; s++) {
-            Deadline d = rings[(int) (s & (RINGS - 1))];
-            while (d != null) {
-                Deadline rest = d.after;
-                leave(d);
-                push(d);
-                d = rest;
+        for (long bucket = currentBucket + 2;
+                bucketedCount > 0 && bucket <= targetBucket + 1 && bucket < currentBucket + BUCKET_COUNT;
+                bucket++) {
+            Deadline deadline = buckets[(int) (bucket & (BUCKET_COUNT - 1))];
+            while (deadline != null) {
+                Deadline following = deadline.next;
+                removeFromBucket(deadline);
+                addToHeap(deadline);
+                deadline = following;
             }
         }
-        span = to;
+        currentBucket = targetBucket;
     }
 
-    // ---- Rings ----
+    // Buckets
 
-    private void enter(Deadline deadline) {
-        int ring = (int) ((deadline.at >> SHIFT) & (RINGS - 1));
-        deadline.place = RING;
-        deadline.after = rings[ring];
-        if (deadline.after != null) {
-            deadline.after.before = deadline;
+    private void addToBucket(Deadline deadline) {
+        int bucket = (int) ((deadline.dueAt >> BUCKET_SHIFT_BITS) & (BUCKET_COUNT - 1));
+        deadline.heapIndex = IN_BUCKET_INDEX;
+        deadline.next = buckets[bucket];
+        if (deadline.next != null) {
+            deadline.next.previous = deadline;
         }
-        rings[ring] = deadline;
-        inRings++;
+        buckets[bucket] = deadline;
+        bucketedCount++;
     }
 
-    private void leave(Deadline deadline) {
-        if (deadline.before == null) {
-            rings[(int) ((deadline.at >> SHIFT) & (RINGS - 1))] = deadline.after;
+    private void removeFromBucket(Deadline deadline) {
+        if (deadline.previous == null) {
+            buckets[(int) ((deadline.dueAt >> BUCKET_SHIFT_BITS) & (BUCKET_COUNT - 1))] = deadline.next;
         } else {
-            deadline.before.after = deadline.after;
+            deadline.previous.next = deadline.next;
         }
-        if (deadline.after != null) {
-            deadline.after.before = deadline.before;
+        if (deadline.next != null) {
+            deadline.next.previous = deadline.previous;
         }
-        deadline.before = null;
-        deadline.after = null;
-        deadline.place = GONE;
-        inRings--;
+        deadline.previous = null;
+        deadline.next = null;
+        deadline.heapIndex = REMOVED_INDEX;
+        bucketedCount--;
     }
 
-    // ---- Heap ----
+    // Heap
 
-    private void push(Deadline deadline) {
-        if (size == heap.length) {
-            heap = Arrays.copyOf(heap, size * 2);
+    private void addToHeap(Deadline deadline) {
+        if (heapSize == heap.length) {
+            heap = Arrays.copyOf(heap, heapSize * 2);
         }
-        up(deadline, size++);
+        siftUp(deadline, heapSize++);
     }
 
-    private void remove(Deadline deadline) {
-        int at = deadline.place;
-        deadline.place = GONE;
-        Deadline last = heap[--size];
-        heap[size] = null;
+    private void removeFromHeap(Deadline deadline) {
+        int index = deadline.heapIndex;
+        deadline.heapIndex = REMOVED_INDEX;
+        Deadline last = heap[--heapSize];
+        heap[heapSize] = null;
         if (last != deadline) {
-            if (at > 0 && last.sooner(heap[(at - 1) / BRANCHES])) {
-                up(last, at);
+            if (index > 0 && last.isBefore(heap[(index - 1) / HEAP_BRANCH_COUNT])) {
+                siftUp(last, index);
             } else {
-                down(last, at);
+                siftDown(last, index);
             }
         }
     }
 
-    private void up(Deadline deadline, int from) {
-        int at = from;
-        while (at > 0) {
-            int parent = (at - 1) / BRANCHES;
-            if (!deadline.sooner(heap[parent])) {
+    private void siftUp(Deadline deadline, int startIndex) {
+        int index = startIndex;
+        while (index > 0) {
+            int parent = (index - 1) / HEAP_BRANCH_COUNT;
+            if (!deadline.isBefore(heap[parent])) {
                 break;
             }
-            heap[at] = heap[parent];
-            heap[at].place = at;
-            at = parent;
+            heap[index] = heap[parent];
+            heap[index].heapIndex = index;
+            index = parent;
         }
-        heap[at] = deadline;
-        deadline.place = at;
+        heap[index] = deadline;
+        deadline.heapIndex = index;
     }
 
-    private void down(Deadline deadline, int from) {
-        int at = from;
-        int child;
-        while ((child = at * BRANCHES + 1) < size) {
-            int least = child;
-            int end = Math.min(child + BRANCHES, size);
-            for (int i = child + 1; i < end; i++) {
-                if (heap[i].sooner(heap[least])) {
-                    least = i;
+    private void siftDown(Deadline deadline, int startIndex) {
+        int index = startIndex;
+        int firstChild;
+        while ((firstChild = index * HEAP_BRANCH_COUNT + 1) < heapSize) {
+            int earliestChild = firstChild;
+            int childrenEnd = Math.min(firstChild + HEAP_BRANCH_COUNT, heapSize);
+            for (int i = firstChild + 1; i < childrenEnd; i++) {
+                if (heap[i].isBefore(heap[earliestChild])) {
+                    earliestChild = i;
                 }
             }
-            if (!heap[least].sooner(deadline)) {
+            if (!heap[earliestChild].isBefore(deadline)) {
                 break;
             }
-            heap[at] = heap[least];
-            heap[at].place = at;
-            at = least;
+            heap[index] = heap[earliestChild];
+            heap[index].heapIndex = index;
+            index = earliestChild;
         }
-        heap[at] = deadline;
-        deadline.place = at;
+        heap[index] = deadline;
+        deadline.heapIndex = index;
     }
 }
--- a/router/src/main/java/stoatrill/core/Effects.java
+++ b/router/src/main/java/stoatrill/core/Effects.java
@@ -2,44 +2,44 @@
 
 import java.net.InetSocketAddress;
 
-/** What the reducer asks of the sockets. None of these may call the reducer back before it has returned. */
+/** The I/O that the reducer requests. No method may call the reducer back before it has returned. */
 public interface Effects {
 
-    /** Opens a connection to a server; {@code connected} or {@code broken} follows. */
+    /** Opens a connection to a server; {@link Reducer#connected} or {@link Reducer#broken} follows. */
     void open(long connection, InetSocketAddress endpoint);
 
-    /** Writes a query; {@code written} follows once the last byte is out, then {@code answered}. */
+    /** Writes a query; {@link Reducer#written(long)} follows after the last byte, then {@link Reducer#answered}. */
     void query(long connection, Statement statement, long waitMillis);
 
-    /** Whether nothing has come in on a connection at rest; one that is not quiet is no more to be used. */
+    /** Whether nothing was received on an idle connection; one that received something must not be reused. */
     boolean quiet(long connection);
 
-    /** Asks the server at the other end for its load report; {@code answered} follows. */
+    /** Requests a load report from the connection's server; {@link Reducer#answered} follows. */
     void probe(long connection);
 
-    /** Closes a connection to a server at once; nothing follows. */
+    /** Closes a connection to a server at once; no event follows. */
     void close(long connection);
 
-    /** Gives a client the final answer to the request that it numbered so. */
+    /** Sends a client the final answer to the request in the given slot. */
     void answer(long client, long slot, Answer answer);
 
-    /** Follows the list of servers from now on, or stops. */
-    void watch(boolean on);
+    /** Starts or stops watching the list of servers. */
+    void watch(boolean enabled);
 
-    /** Asks for the whole list of servers once. */
+    /** Requests the full list of servers once. */
     void fetch();
 
-    /** A line for the operators. */
+    /** Logs a line for the operators. */
     void log(String line);
 
-    /** Whether {@link #trace} is heard, so that nothing is worded for nobody. */
+    /** Whether {@link #trace} has any effect; if not, the caller need not build its texts. */
     default boolean traces() {
         return false;
     }
 
-    /** What has become of a request, by the client's name for it. */
-    default void trace(String request, String event, String why) {}
+    /** Traces an event of a request; {@code request} is the id that the client chose. */
+    default void trace(String request, String event, String detail) {}
 
-    /** Something that was done or has come about, for who adds up what a fleet does. */
-    default void count(String what, String why) {}
+    /** Counts an event by subject and cause, so that the counts of a fleet can be added up. */
+    default void count(String subject, String cause) {}
 }
--- a/router/src/main/java/stoatrill/core/Invariants.java
+++ b/router/src/main/java/stoatrill/core/Invariants.java
@@ -3,21 +3,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What must hold: asserted where assertions are on, counted where they are off. */
+/** Checks invariants: a broken one is counted, and thrown if assertions are enabled. */
 public final class Invariants {
-    private final Map<String, Long> broken = new TreeMap<>();
+    private final Map<String, Long> violations = new TreeMap<>();
 
-    /** Returns the condition, so that a release build can step around what is broken. */
-    public boolean hold(boolean condition, String what) {
+    /** Returns the condition, so that the caller can handle a broken invariant where assertions are disabled. */
+    public boolean check(boolean condition, String description) {
         if (!condition) {
-            broken.merge(what, 1L, Long::sum);
-            assert false : what;
+            violations.merge(description, 1L, Long::sum);
+            assert false : description;
         }
         return condition;
     }
 
-    /** How often each was found broken; empty is the good case. */
-    public Map<String, Long> broken() {
-        return Map.copyOf(broken);
+    /** How often each invariant was broken; empty if none was. */
+    public Map<String, Long> violations() {
+        return Map.copyOf(violations);
     }
 }
--- a/router/src/main/java/stoatrill/core/Reducer.java
+++ b/router/src/main/java/stoatrill/core/Reducer.java
@@ -14,34 +14,35 @@
 import stoatrill.contract.Contracts;
 
 /**
- * The one place where state changes: what the sockets saw goes in by the public methods, what they are to do
- * comes out through {@link Effects}. It owns the requests, their attempts, the probes and the connections to
- * servers, and it is the {@link Gateway} that the module's decisions act through.
+ * The router's state machine and the only place where its state changes. Events from the sockets come in through the
+ * public methods; the resulting I/O is requested through {@link Effects}. The reducer owns the requests, their
+ * attempts, the probes and the connections to servers. It implements {@link Gateway}, through which the decision
+ * module ({@link Decide}) acts.
  *
- * <p>The module's actions are queued and carried out once the event that caused them has returned, so that
- * the module is never called from within itself.
+ * <p>The module's actions are queued and run after the event that caused them has returned, so the module is never
+ * called reentrantly.
  */
 public final class Reducer implements Gateway, ServerPool.Owner {
-    private static final long MILLI = 1_000_000L;
-    private static final long PROBE_TIMEOUT = 500 * MILLI;
-    /** How long after its deadline a request without a final answer is failed; inside the rules' slack. */
-    private static final long BACKSTOP = 5 * MILLI;
-    /** Positions are rounded, commits up, and the clocks are compared now and then. */
-    private static final long POSITION_SLACK = 20 * MILLI;
-    /** Times the longest give-up time that a client may say it waits. */
-    private static final long WAIT_FACTOR = 10;
-    /** The part of the time after which servers close idle connections that they rest here. */
-    private static final double IDLE_PART = 0.7;
-
-    /** What the reducer is set up with beside the module's settings; spans are in nanoseconds. */
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long PROBE_TIMEOUT_NANOS = 500 * NANOS_PER_MILLI;
+    /** How long after its deadline an unanswered request is failed; shorter than the slack the rules allow. */
+    private static final long BACKSTOP_DELAY_NANOS = 5 * NANOS_PER_MILLI;
+    /** Tolerated because positions are rounded (commits upwards) and clocks are compared only from time to time. */
+    private static final long POSITION_TOLERANCE_NANOS = 20 * NANOS_PER_MILLI;
+    /** Upper bound on a client's announced wait, as a multiple of the longest give-up time of all classes. */
+    private static final long MAX_WAIT_FACTOR = 10;
+    /** How long connections stay idle here, as a ratio of the time after which servers close idle connections. */
+    private static final double IDLE_TIMEOUT_RATIO = 0.7;
+
+    /** The reducer's configuration, including the module's settings; spans are in nanoseconds. */
     public record Setup(
             Settings settings,
             List<String> zones,
             List<String> models,
             long connectTimeout,
-            long connIdle,
-            int mostHeld,
-            int serverConnections,
+            long serverIdleTimeout,
+            int maxUnansweredRequests,
+            int maxServerConnections,
             long seed) {}
 
     private final Effects effects;
@@ -49,31 +50,31 @@
     private final Setup setup;
     private final Deadlines deadlines;
     private final Invariants invariants = new Invariants();
-    private final ServerPool pool;
-    private final Gateway.Events module;
-    private final Map<String, RequestClass> classes = new HashMap<>();
-    private final Map<String, Integer> classPlaces = new HashMap<>(); // as the module counts them
-    private final Map<Long, Request> requests = new HashMap<>();
-    private final Map<Long, Map<Long, Request>> open = new HashMap<>();
-    private final ServerDirectory directory;
-    private final Set<String> names = new HashSet<>(); // of the open requests, as clients call them
-    private final long longestWait;
-    private final ArrayDeque<Runnable> actions = new ArrayDeque<>();
+    private final ServerPool serverPool;
+    private final Gateway.Events decisionModule;
+    private final Map<String, RequestClass> classesByName = new HashMap<>();
+    private final Map<String, Integer> classIndexes = new HashMap<>(); // as in Settings.classes
+    private final Map<Long, Request> requestsById = new HashMap<>();
+    private final Map<Long, Map<Long, Request>> openRequestsByClient = new HashMap<>();
+    private final ServerDirectory serverDirectory;
+    private final Set<String> openRequestNames = new HashSet<>(); // ids chosen by the clients
+    private final long maxWaitMillis;
+    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
     private long now;
-    private long requestIds = 1;
-    private int unanswered;
-    private boolean inModule;
-    private boolean ending;
+    private long nextRequestId = 1;
+    private int unansweredCount;
+    private boolean isModuleRunning;
+    private boolean isShuttingDown;
 
-    private final RequestGate gate;
+    private final RequestGate requestGate;
     private ContractGate contractGate;
 
-    /** A reducer that has not been told of any server yet: {@link #members} comes first. */
+    /** Creates a reducer that knows no server yet: {@link #members} must be called first. */
     public Reducer(Effects effects, Clocks clocks, Deadlines deadlines, Setup setup) {
         this(effects, clocks, deadlines, setup, gateway -> new Decide(gateway, setup.settings(), setup.seed()));
     }
 
-    /** A reducer with decisions other than the module's own, to hold them against each other. */
+    /** Creates a reducer with another decision module than {@link Decide}, to compare the two. */
     public Reducer(
             Effects effects,
             Clocks clocks,
@@ -84,463 +85,490 @@
         this.deadlines = deadlines;
         this.clocks = clocks;
         this.setup = setup;
-        this.gate = new RequestGate(setup.settings());
-        this.pool = new ServerPool(
+        this.requestGate = new RequestGate(setup.settings());
+        this.serverPool = new ServerPool(
                 effects,
                 deadlines,
                 this,
-                new ServerPool.Limits(
-                        setup.serverConnections(), setup.connectTimeout(), (long) (setup.connIdle() * IDLE_PART)));
-        this.directory = new ServerDirectory(pool, clocks, setup);
-        for (RequestClass c : setup.settings().classes()) {
-            classPlaces.put(c.name(), classes.size());
-            classes.put(c.name(), c);
-        }
-        this.longestWait = setup.settings().classes().stream()
+                new ServerPool.Limits(setup.maxServerConnections(), setup.connectTimeout(), (long)
+                        (setup.serverIdleTimeout() * IDLE_TIMEOUT_RATIO)));
+        this.serverDirectory = new ServerDirectory(serverPool, clocks, setup);
+        for (RequestClass requestClass : setup.settings().classes()) {
+            classIndexes.put(requestClass.name(), classesByName.size());
+            classesByName.put(requestClass.name(), requestClass);
+        }
+        this.maxWaitMillis = setup.settings().classes().stream()
                         .mapToLong(RequestClass::giveUp)
                         .max()
                         .orElse(0)
-                / MILLI
-                * WAIT_FACTOR;
-        this.module = decisions.apply(this);
+                / NANOS_PER_MILLI
+                * MAX_WAIT_FACTOR;
+        this.decisionModule = decisions.apply(this);
     }
 
     /**
-     * Holds requests to this router's part of these contracts from now on, with what was spent under the last ones
-     * counted on; null to hold
-     * them to none.
+     * Enforces this router's part of the given contracts from now on. What was spent under the previous contracts still
+     * counts. Null disables contracts.
      */
-    public void contracts(long at, Contracts contracts) {
-        now = at;
-        Contracts part =
+    public void contracts(long eventTime, Contracts contracts) {
+        now = eventTime;
+        Contracts ownPart =
                 contracts == null ? null : contracts.part(setup.settings().gateways());
-        if (part == null) {
+        if (ownPart == null) {
             contractGate = null;
         } else if (contractGate == null) {
-            contractGate = new ContractGate(part, setup.seed(), now);
+            contractGate = new ContractGate(ownPart, setup.seed(), now);
         } else {
-            contractGate.reload(part, now);
+            contractGate.reload(ownPart, now);
         }
     }
 
-    // ---- Events: clients ----
+    // Client events
 
-    /** A request's last byte was read; {@code slot} is the client connection's own number for it. */
-    public void request(long at, long client, long slot, ClientRequest asked) {
-        now = at;
-        RequestClass kind = classes.get(asked.kind());
-        if (kind == null) {
-            effects.answer(client, slot, new Answer.Invalid("unknown class \"" + asked.kind() + "\""));
+    /** Handles a request that was read completely; {@code slot} numbers it within the client's connection. */
+    public void request(long eventTime, long client, long slot, ClientRequest clientRequest) {
+        now = eventTime;
+        RequestClass requestClass = classesByName.get(clientRequest.kind());
+        if (requestClass == null) {
+            effects.answer(client, slot, new Answer.Invalid("unknown class \"" + clientRequest.kind() + "\""));
             return;
         }
-        if (asked.writes() != (kind.need() == Need.WRITE)) {
-            // Guards uploads: a statement that writes must not go out under a class that may be repeated.
-            effects.answer(client, slot, new Answer.Invalid("class \"" + kind.name() + "\" is not for this statement"));
+        if (clientRequest.writes() != (requestClass.need() == Need.WRITE)) {
+            // A writing statement must not be sent under a class that may be repeated: an upload could run twice.
+            effects.answer(
+                    client,
+                    slot,
+                    new Answer.Invalid("class \"" + requestClass.name() + "\" is not for this statement"));
             return;
         }
-        String wrong = wrong(asked);
-        if (wrong != null) {
-            effects.answer(client, slot, new Answer.Invalid(wrong));
+        String problem = findProblem(clientRequest);
+        if (problem != null) {
+            effects.answer(client, slot, new Answer.Invalid(problem));
             return;
         }
-        if (ending || unanswered >= setup.mostHeld()) {
+        if (isShuttingDown || unansweredCount >= setup.maxUnansweredRequests()) {
             effects.answer(client, slot, new Answer.Refused(0));
             return;
         }
-        int team = -1;
-        boolean groupShort = contractGate != null && contractGate.isShort(asked.group(), now);
+        int teamIndex = -1;
+        boolean isGroupShort = contractGate != null && contractGate.isShort(clientRequest.group(), now);
         if (contractGate != null) {
-            team = contractGate.team(asked.team());
-            if (team < 0) {
-                effects.answer(client, slot, new Answer.Invalid("team \"" + asked.team() + "\" has no contract here"));
+            teamIndex = contractGate.teamIndex(clientRequest.team());
+            if (teamIndex < 0) {
+                effects.answer(
+                        client, slot, new Answer.Invalid("team \"" + clientRequest.team() + "\" has no contract here"));
                 return;
             }
-            long wait = contractGate.admit(team, groupShort, now);
-            if (wait > 0) {
+            long waitNanos = contractGate.admit(teamIndex, isGroupShort, now);
+            if (waitNanos > 0) {
                 Limits limits = setup.settings().limits();
-                long advice = limits.comeBack() ? Math.min(wait, limits.longestComeBack()) : 0;
-                effects.answer(client, slot, new Answer.Refused((advice + MILLI - 1) / MILLI));
+                long retryAfterNanos = limits.comeBack() ? Math.min(waitNanos, limits.longestComeBack()) : 0;
+                effects.answer(
+                        client, slot, new Answer.Refused((retryAfterNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
                 return;
             }
         }
-        Request r = new Request(requestIds++, client, slot, asked, kind, now + asked.waitMillis() * MILLI);
-        effects.count(kind.name(), "asked");
-        trace(r, "taken", kind.name());
-        r.team = team;
-        r.groupShort = groupShort;
-        r.charged = now;
-        r.accounts = contractGate == null ? null : contractGate.accounts();
-        requests.put(r.id, r);
-        names.add(asked.id());
-        open.computeIfAbsent(client, c -> new LinkedHashMap<>()).put(slot, r);
-        unanswered++;
-        r.backstop = deadlines.at(r.deadline + BACKSTOP, () -> overdue(r));
-        long token = asked.afterMillis() > 0 ? Math.max(1, now - clocks.fromWallMillis(asked.afterMillis())) : 0;
-        tell(() -> module.request(
+        Request request = new Request(
+                nextRequestId++,
+                client,
+                slot,
+                clientRequest,
+                requestClass,
+                now + clientRequest.waitMillis() * NANOS_PER_MILLI);
+        effects.count(requestClass.name(), "asked");
+        trace(request, "taken", requestClass.name());
+        request.teamIndex = teamIndex;
+        request.isGroupShort = isGroupShort;
+        request.chargedAt = now;
+        request.accounts = contractGate == null ? null : contractGate.accounts();
+        requestsById.put(request.id, request);
+        openRequestNames.add(clientRequest.id());
+        openRequestsByClient.computeIfAbsent(client, c -> new LinkedHashMap<>()).put(slot, request);
+        unansweredCount++;
+        request.backstopDeadline =
+                deadlines.at(request.deadline + BACKSTOP_DELAY_NANOS, () -> failOverdueRequest(request));
+        long tokenAge = clientRequest.afterMillis() > 0
+                ? Math.max(1, now - clocks.fromWallMillis(clientRequest.afterMillis()))
+                : 0;
+        notifyModule(() -> decisionModule.request(
                 now,
-                r.id,
-                key(asked.key()),
-                asked.group(),
-                r.deadline,
-                token,
-                asked.repeat(),
-                classPlaces.get(kind.name()),
+                request.id,
+                toNumericKey(clientRequest.key()),
+                clientRequest.group(),
+                request.deadline,
+                tokenAge,
+                clientRequest.repeat(),
+                classIndexes.get(requestClass.name()),
                 0));
     }
 
-    /** What no server could make sense of, or would take for another client's request; null if nothing. */
-    private String wrong(ClientRequest asked) {
-        if (names.contains(asked.id())) {
+    /**
+     * Describes why a request is invalid: no server could handle it, or a server would take it for another client's
+     * request. Returns null if it is valid.
+     */
+    private String findProblem(ClientRequest clientRequest) {
+        if (openRequestNames.contains(clientRequest.id())) {
             return "id is in use by a request that is still open";
         }
-        if (asked.waitMillis() < 1 || asked.waitMillis() > longestWait) {
+        if (clientRequest.waitMillis() < 1 || clientRequest.waitMillis() > maxWaitMillis) {
             return "d is out of range";
         }
-        return directory.knowsGroup(asked.group()) ? null : "cluster " + asked.group() + " is not known";
+        return serverDirectory.knowsGroup(clientRequest.group())
+                ? null
+                : "cluster " + clientRequest.group() + " is not known";
     }
 
-    /** A client's connection has ended: nobody waits for its requests any more. */
-    public void clientGone(long at, long client) {
-        now = at;
-        Map<Long, Request> left = open.remove(client);
-        if (left != null) {
-            for (Request r : left.values()) {
-                finish(r, null);
-                tell(() -> module.left(now, r.id));
+    /** Handles the end of a client's connection: ends all its requests without an answer. */
+    public void clientGone(long eventTime, long client) {
+        now = eventTime;
+        Map<Long, Request> openRequests = openRequestsByClient.remove(client);
+        if (openRequests != null) {
+            for (Request request : openRequests.values()) {
+                finishRequest(request, null);
+                notifyModule(() -> decisionModule.left(now, request.id));
             }
         }
     }
 
-    /** A client has taken back one request: it ends at once, and what is out for it is called off. */
-    public void cancelled(long at, long client, long slot) {
-        now = at;
-        Request r = open.getOrDefault(client, Map.of()).get(slot);
-        if (r != null) {
-            finish(r, new Answer.Cancelled());
-            tell(() -> module.left(now, r.id));
+    /** Handles a client's cancellation of one request: ends it at once and calls off its attempts. */
+    public void cancelled(long eventTime, long client, long slot) {
+        now = eventTime;
+        Request request = openRequestsByClient.getOrDefault(client, Map.of()).get(slot);
+        if (request != null) {
+            finishRequest(request, new Answer.Cancelled());
+            notifyModule(() -> decisionModule.left(now, request.id));
         }
     }
 
-    /** The router is about to end: fails all that is still owed an answer; what is still to come is refused. */
-    public void failAll(long at) {
-        now = at;
-        ending = true;
-        for (Request r : List.copyOf(requests.values())) {
-            if (!r.over) {
-                finish(r, new Answer.Failed("the router is ending"));
-                tell(() -> module.left(now, r.id));
+    /** Starts the shutdown: fails every request that is owed an answer and refuses all later requests. */
+    public void failAll(long eventTime) {
+        now = eventTime;
+        isShuttingDown = true;
+        for (Request request : List.copyOf(requestsById.values())) {
+            if (!request.isOver) {
+                finishRequest(request, new Answer.Failed("the router is ending"));
+                notifyModule(() -> decisionModule.left(now, request.id));
             }
         }
-        drain();
+        runPendingActions();
     }
 
-    /** How many connections to servers there may be from now on, by what the router holds open beside them. */
-    public void serverConnections(long at, int most) {
-        now = at;
-        pool.most(now, most);
-        drain();
+    /** Sets the limit of connections to servers, which depends on what else the router holds open. */
+    public void serverConnections(long eventTime, int maxConnections) {
+        now = eventTime;
+        serverPool.setMaxConnections(now, maxConnections);
+        runPendingActions();
     }
 
-    /** How many connections to servers there are. */
+    /** The number of connections to servers. */
     public int serverConnections() {
-        return pool.size();
+        return serverPool.size();
     }
 
-    /** How many requests are owed a final answer. */
+    /** The number of requests that are owed a final answer. */
     public int unanswered() {
-        return unanswered;
+        return unansweredCount;
     }
 
-    // ---- Events: servers ----
+    // Server events
 
-    /** A connection to a server is up and takes queries. */
-    public void connected(long at, long id) {
-        now = at;
-        ServerPool.Connection c = pool.get(id);
-        if (c != null) {
-            pool.connected(now, c);
-            drain();
+    /** Handles a connection to a server that is established and accepts queries. */
+    public void connected(long eventTime, long connectionId) {
+        now = eventTime;
+        ServerPool.Connection connection = serverPool.get(connectionId);
+        if (connection != null) {
+            serverPool.connectionEstablished(now, connection);
+            runPendingActions();
         }
     }
 
-    /** The last byte of what was asked is out: from now on it may have run. */
-    public void written(long at, long id) {
-        now = Math.max(now, at);
-        written(id);
+    /** Handles the write of a query's last byte: from now on the query may have run. */
+    public void written(long eventTime, long connectionId) {
+        now = Math.max(now, eventTime);
+        written(connectionId);
     }
 
-    /** As {@link #written(long, long)}, at the time of the last event. */
-    public void written(long id) {
-        ServerPool.Connection c = pool.get(id);
-        if (c != null && c.attempt != null) {
-            c.attempt.state = Attempt.State.OUT;
-            gate.sent(c.attempt, now);
-            trace(c.attempt, "sent", "");
+    /** Same as {@link #written(long, long)}, at the time of the last event. */
+    public void written(long connectionId) {
+        ServerPool.Connection connection = serverPool.get(connectionId);
+        if (connection != null && connection.attempt != null) {
+            connection.attempt.state = Attempt.State.WRITTEN;
+            requestGate.recordSent(connection.attempt, now);
+            trace(connection.attempt, "sent", "");
         }
     }
 
     /**
-     * Whether what was worded for a server may go out now: asked at the very write, since time may have passed, and the
-     * request may be over, by then. If not, {@link #unsent} follows.
+     * Whether a query that was encoded for a server may be written now. Called immediately before the write, because
+     * time may have passed since the encoding and the request may be over. If the result is false, the caller calls
+     * {@link #unsent}.
      *
-     * @param goesOut whether a part of it is out and the server is taking the rest
+     * @param isPartlyWritten whether a part of the query is written and the server is reading the rest
      */
-    public boolean maySend(long at, long id, boolean goesOut) {
-        ServerPool.Connection c = pool.get(id);
-        if (c == null || c.attempt == null) {
+    public boolean maySend(long writeTime, long connectionId, boolean isPartlyWritten) {
+        ServerPool.Connection connection = serverPool.get(connectionId);
+        if (connection == null || connection.attempt == null) {
             return false;
         }
-        RequestGate.Ruling ruling = gate.sendLate(c.attempt, at, goesOut);
-        if (!ruling.allowed()) {
-            denied(c.attempt, ruling);
+        RequestGate.Ruling ruling = requestGate.checkLateSend(connection.attempt, writeTime, isPartlyWritten);
+        if (!ruling.isAllowed()) {
+            recordDenial(connection.attempt, ruling);
         }
-        return ruling.allowed();
+        return ruling.isAllowed();
     }
 
-    /** What was worded for a server has not gone out whole, and will not: its connection is given up. */
-    public void unsent(long at, long id) {
-        now = at;
-        ServerPool.Connection c = pool.get(id);
-        if (c != null && c.attempt != null) {
-            stop(c.attempt, Result.TIMEOUT);
-            drain();
+    /** Handles a query that was not written completely and will not be: closes its connection. */
+    public void unsent(long eventTime, long connectionId) {
+        now = eventTime;
+        ServerPool.Connection connection = serverPool.get(connectionId);
+        if (connection != null && connection.attempt != null) {
+            abandonAttempt(connection.attempt, Result.TIMEOUT);
+            runPendingActions();
         }
     }
 
-    /** A server has answered; {@code reusable} if its connection takes another query. */
-    public void answered(long at, long id, ServerAnswer answer, boolean reusable) {
-        now = at;
-        ServerPool.Connection c = pool.get(id);
-        if (c == null) {
+    /** Handles a server's answer; {@code isReusable} tells whether the connection accepts another query. */
+    public void answered(long eventTime, long connectionId, ServerAnswer answer, boolean isReusable) {
+        now = eventTime;
+        ServerPool.Connection connection = serverPool.get(connectionId);
+        if (connection == null) {
             return;
         }
-        Attempt a = c.attempt;
-        if (a == null || !reusable) {
-            pool.drop(c); // an answer that nobody asked for leaves the connection's state unknown
+        Attempt attempt = connection.attempt;
+        if (attempt == null || !isReusable) {
+            serverPool.closeConnection(connection); // after an unsolicited answer the connection's state is unknown
         }
-        if (a == null) {
+        if (attempt == null) {
             return;
         }
-        end(a, answer.result(), answer);
-        if (reusable) {
-            pool.rest(now, c);
+        endAttempt(attempt, answer.result(), answer);
+        if (isReusable) {
+            serverPool.releaseConnection(now, connection);
         }
-        drain();
+        runPendingActions();
     }
 
-    /** A connection has ended, or what came on it can't be read. */
-    public void broken(long at, long id, Break how) {
-        now = at;
-        ServerPool.Connection c = pool.get(id);
-        if (c == null) {
+    /** Handles the end of a connection to a server, or unreadable data on it. */
+    public void broken(long eventTime, long connectionId, Break cause) {
+        now = eventTime;
+        ServerPool.Connection connection = serverPool.get(connectionId);
+        if (connection == null) {
             return;
         }
-        Attempt a = c.attempt;
-        pool.broken(now, c, how == Break.FULL);
-        pool.refill(now); // the longest waiting first, before what the module sends next
-        if (a != null) {
-            // Before the last byte the server can't have begun; after it there is no telling.
-            boolean out = a.state == Attempt.State.OUT;
-            end(a, !out ? Result.CONNECT_FAILED : how == Break.SPOILT ? Result.SPOILT : Result.RESET, null);
+        Attempt attempt = connection.attempt;
+        serverPool.connectionLost(now, connection, cause == Break.FULL);
+        serverPool.openDeferredConnections(now); // attempts that wait go before those the module sends next
+        if (attempt != null) {
+            // Before the last byte is written, the server can't have begun; after it, that is unknown.
+            boolean isWritten = attempt.state == Attempt.State.WRITTEN;
+            endAttempt(
+                    attempt,
+                    !isWritten ? Result.CONNECT_FAILED : cause == Break.SPOILT ? Result.SPOILT : Result.RESET,
+                    null);
         }
-        drain();
+        runPendingActions();
     }
 
-    // ---- Events: discovery and time ----
+    // Discovery and timer events
 
-    /** News of the list of servers; the first call, with the list last held, starts the module. */
-    public void members(long at, ListKind kind, List<ServerEntry> entries) {
-        now = at;
-        List<Member> members = directory.update(now, kind, entries);
-        tell(() -> module.members(now, kind, members));
-        directory.forgetGone();
+    /** Handles news of the server list. The first call brings the cached list and starts the module. */
+    public void members(long eventTime, ListKind listKind, List<ServerEntry> entries) {
+        now = eventTime;
+        List<Member> members = serverDirectory.update(now, listKind, entries);
+        notifyModule(() -> decisionModule.members(now, listKind, members));
+        serverDirectory.removeGoneServers();
     }
 
-    /** How many servers, requests and names of requests are held. */
-    public List<Integer> held() {
-        return List.of(directory.size(), requests.size() + open.size(), names.size());
+    /** The numbers of entries held for servers, for requests and for request ids. */
+    public List<Integer> heldEntryCounts() {
+        return List.of(
+                serverDirectory.entryCount(),
+                requestsById.size() + openRequestsByClient.size(),
+                openRequestNames.size());
     }
 
-    /** The list is to be had from another place: what failed at the old one says nothing of the new one. */
-    public void listMoved(long at) {
-        now = at;
-        directory.moved();
-        tell(() -> module.listMoved(now));
+    /** Handles a change of the discovery address: failures at the old address say nothing about the new one. */
+    public void listMoved(long eventTime) {
+        now = eventTime;
+        serverDirectory.listMoved();
+        notifyModule(() -> decisionModule.listMoved(now));
     }
 
-    /** Time has passed: sweeps the deadlines. Returns when the next one is due. */
-    public long tick(long at) {
-        now = at;
+    /** Runs the deadlines that are due. Returns when the next one is due. */
+    public long tick(long eventTime) {
+        now = eventTime;
         deadlines.sweep(now);
-        drain();
-        return settle(at);
+        runPendingActions();
+        return settle(eventTime);
     }
 
-    /** Opens the connections that had to wait for room. Returns when the next deadline is due. */
-    public long settle(long at) {
-        now = at;
-        pool.refill(now);
-        drain();
+    /** Opens connections that waited for free capacity. Returns when the next deadline is due. */
+    public long settle(long eventTime) {
+        now = eventTime;
+        serverPool.openDeferredConnections(now);
+        runPendingActions();
         return deadlines.next();
     }
 
-    /** What was found broken that must hold, and how often; rules of the gate by their names. */
+    /** How often each invariant was broken, by its description; rules of the request gate by their names. */
     public Map<String, Long> brokenInvariants() {
-        Map<String, Long> broken = new TreeMap<>(invariants.broken());
-        gate.violations().forEach((rule, count) -> broken.put(rule.name(), count));
+        Map<String, Long> broken = new TreeMap<>(invariants.violations());
+        requestGate.violations().forEach((rule, count) -> broken.put(rule.name(), count));
         return broken;
     }
 
-    /** The router ends a client's connection by itself: counts it where an answer is still owed on it. */
+    /** Records that the router closes a client's connection: a violation if an answer is still owed on it. */
     public void closes(long client) {
-        RequestGate.Ruling ruling =
-                gate.close(open.getOrDefault(client, Map.of()).size());
-        if (!ruling.allowed()) {
-            gate.violated(ruling);
+        RequestGate.Ruling ruling = requestGate.checkClose(
+                openRequestsByClient.getOrDefault(client, Map.of()).size());
+        if (!ruling.isAllowed()) {
+            requestGate.recordViolation(ruling);
         }
     }
 
-    // ---- The module and its actions ----
+    // Decision module and its actions
 
-    /** Calls the module, then carries out what it asked for. */
-    private void tell(Runnable event) {
-        call(event);
-        drain();
+    /** Calls the module, then runs the actions it asked for. */
+    private void notifyModule(Runnable event) {
+        callModule(event);
+        runPendingActions();
     }
 
-    private void call(Runnable event) {
-        if (!invariants.hold(!inModule, "the module is not called from within itself")) {
-            actions.add(() -> call(event));
+    private void callModule(Runnable event) {
+        if (!invariants.check(!isModuleRunning, "the module is not called from within itself")) {
+            pendingActions.add(() -> callModule(event));
             return;
         }
-        inModule = true;
+        isModuleRunning = true;
         try {
             event.run();
         } catch (RuntimeException | LinkageError | VirtualMachineError e) {
-            // Guards the other requests from a failure of the module; the one at fault ends by its backstop.
-            invariants.hold(false, "the module does not throw");
+            // A failure of the module must not affect other requests; the backstop ends the one that caused it.
+            invariants.check(false, "the module does not throw");
             effects.log("decision failed: " + e);
         } finally {
-            inModule = false;
+            isModuleRunning = false;
         }
     }
 
-    private void drain() {
+    private void runPendingActions() {
         Runnable action;
-        while ((action = actions.poll()) != null) {
+        while ((action = pendingActions.poll()) != null) {
             action.run();
         }
     }
 
     @Override
-    public void send(long request, long server, long timeout) {
-        actions.add(() -> start(request, directory.server(server), timeout));
+    public void send(long requestId, long serverId, long timeout) {
+        pendingActions.add(() -> startAttempt(requestId, serverDirectory.findServer(serverId), timeout));
     }
 
-    private void start(long id, ServerPool.Server server, long timeout) {
-        Request r = requests.get(id);
-        if (!invariants.hold(r != null, "a send names a request that was taken")) {
+    private void startAttempt(long requestId, ServerPool.Server server, long timeout) {
+        Request request = requestsById.get(requestId);
+        if (!invariants.check(request != null, "a send names a request that was taken")) {
             return;
         }
-        Attempt a = new Attempt(r, r.attempts.size(), server, now);
-        r.attempts.add(a);
-        effects.count(r.kind.name(), a.number == 0 ? "first" : "further");
-        r.out++;
-        if (r.accounts != null && a.number > 0) {
-            r.accounts.charge(r.team, r.groupShort, now); // a further one costs the same team once more
+        Attempt attempt = new Attempt(request, request.attempts.size(), server, now);
+        request.attempts.add(attempt);
+        effects.count(request.requestClass.name(), attempt.number == 0 ? "first" : "further");
+        request.openAttemptCount++;
+        if (request.accounts != null && attempt.number > 0) {
+            // Each further attempt is charged to the team as well.
+            request.accounts.charge(request.teamIndex, request.isGroupShort, now);
         }
         if (server.endpoint == null) {
-            end(a, Result.CONNECT_FAILED, null);
+            endAttempt(attempt, Result.CONNECT_FAILED, null);
             return;
         }
-        RequestGate.Ruling ruling = gate.begin(a, now);
-        if (!ruling.allowed()) {
-            denied(a, ruling);
-            end(a, Result.MOOT, null);
+        RequestGate.Ruling ruling = requestGate.checkBegin(attempt, now);
+        if (!ruling.isAllowed()) {
+            recordDenial(attempt, ruling);
+            endAttempt(attempt, Result.MOOT, null);
             return;
         }
-        trace(a, "begun", "");
-        long until = timeout > 0 ? Math.min(now + timeout, r.deadline) : r.deadline;
-        a.timeout = deadlines.at(until, () -> stop(a, Result.TIMEOUT));
-        pool.take(now, a);
+        trace(attempt, "begun", "");
+        long timeoutAt = timeout > 0 ? Math.min(now + timeout, request.deadline) : request.deadline;
+        attempt.timeoutDeadline = deadlines.at(timeoutAt, () -> abandonAttempt(attempt, Result.TIMEOUT));
+        serverPool.assignConnection(now, attempt);
     }
 
     @Override
-    public void probe(long server) {
-        actions.add(() -> {
-            Attempt a = new Attempt(null, 0, directory.server(server), now);
-            if (a.server.endpoint == null) {
-                end(a, Result.CONNECT_FAILED, null);
+    public void probe(long serverId) {
+        pendingActions.add(() -> {
+            Attempt attempt = new Attempt(null, 0, serverDirectory.findServer(serverId), now);
+            if (attempt.server.endpoint == null) {
+                endAttempt(attempt, Result.CONNECT_FAILED, null);
                 return;
             }
-            a.timeout = deadlines.at(now + PROBE_TIMEOUT, () -> stop(a, Result.TIMEOUT));
-            pool.take(now, a);
+            attempt.timeoutDeadline =
+                    deadlines.at(now + PROBE_TIMEOUT_NANOS, () -> abandonAttempt(attempt, Result.TIMEOUT));
+            serverPool.assignConnection(now, attempt);
         });
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-        actions.add(() -> {
-            Request r = requests.get(request);
-            if (r != null && attempt < r.attempts.size()) {
-                stop(r.attempts.get(attempt), Result.CANCELLED);
+    public void cancel(long requestId, int attemptNumber) {
+        pendingActions.add(() -> {
+            Request request = requestsById.get(requestId);
+            if (request != null && attemptNumber < request.attempts.size()) {
+                abandonAttempt(request.attempts.get(attemptNumber), Result.CANCELLED);
             }
         });
     }
 
     @Override
-    public void refuse(long request, long comeBack) {
-        actions.add(() -> {
-            Request r = requests.get(request);
-            if (contractGate != null && r != null) {
-                contractGate.refused(r.asked.group(), now);
+    public void refuse(long requestId, long retryAfterNanos) {
+        pendingActions.add(() -> {
+            Request request = requestsById.get(requestId);
+            if (contractGate != null && request != null) {
+                contractGate.markShort(request.clientRequest.group(), now);
             }
-            last(request, new Answer.Refused((comeBack + MILLI - 1) / MILLI));
+            giveFinalAnswer(requestId, new Answer.Refused((retryAfterNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
         });
     }
 
     @Override
-    public void fail(long request) {
-        actions.add(() -> last(request, new Answer.Failed("no server answered in time")));
+    public void fail(long requestId) {
+        pendingActions.add(() -> giveFinalAnswer(requestId, new Answer.Failed("no server answered in time")));
     }
 
-    private void last(long id, Answer answer) {
-        Request r = requests.get(id);
-        if (r == null || r.over) {
+    private void giveFinalAnswer(long requestId, Answer answer) {
+        Request request = requestsById.get(requestId);
+        if (request == null || request.isOver) {
             return;
         }
-        RequestGate.Ruling ruling = gate.answer(r, answer);
-        if (!ruling.allowed()) {
-            gate.violated(ruling);
-            finish(r, new Answer.Failed("the outcome is not known"));
+        RequestGate.Ruling ruling = requestGate.checkAnswer(request, answer);
+        if (!ruling.isAllowed()) {
+            requestGate.recordViolation(ruling);
+            finishRequest(request, new Answer.Failed("the outcome is not known"));
             return;
         }
-        finish(r, answer);
+        finishRequest(request, answer);
     }
 
     @Override
-    public void timer(long span, long token) {
-        actions.add(() -> deadlines.at(now + span, () -> tell(() -> module.timer(now, token))));
+    public void timer(long delay, long token) {
+        pendingActions.add(() -> deadlines.at(now + delay, () -> notifyModule(() -> decisionModule.timer(now, token))));
     }
 
     @Override
-    public void dropIdle(long server) {
-        actions.add(() -> pool.dropIdle(directory.server(server)));
+    public void dropIdle(long serverId) {
+        pendingActions.add(() -> serverPool.closeIdleConnections(serverDirectory.findServer(serverId)));
     }
 
     @Override
     public void tell(int peer, byte[] message) {
-        invariants.hold(false, "routers share nothing");
+        invariants.check(false, "routers share nothing");
     }
 
     @Override
-    public void follow(boolean on) {
-        actions.add(() -> effects.watch(on));
+    public void follow(boolean enabled) {
+        pendingActions.add(() -> effects.watch(enabled));
     }
 
     @Override
     public void fetch() {
-        actions.add(effects::fetch);
+        pendingActions.add(effects::fetch);
     }
 
     @Override
@@ -549,119 +577,132 @@
     }
 
     @Override
-    public void count(String what, String why) {
-        effects.count(what, why);
+    public void count(String subject, String cause) {
+        effects.count(subject, cause);
     }
 
-    // ---- Attempts ----
+    // Attempts
 
     @Override
-    public boolean write(ServerPool.Connection c, Attempt a) {
-        if (a.request == null) {
-            c.attempt = a;
-            a.connection = c;
-            a.state = Attempt.State.WRITING;
-            effects.probe(c.id);
+    public boolean writeAttempt(ServerPool.Connection connection, Attempt attempt) {
+        if (attempt.request == null) {
+            connection.attempt = attempt;
+            attempt.connection = connection;
+            attempt.state = Attempt.State.WRITING;
+            effects.probe(connection.id);
             return true;
         }
-        RequestGate.Ruling ruling = gate.send(a, now);
-        if (!ruling.allowed()) {
-            denied(a, ruling);
-            actions.add(() -> end(a, Result.MOOT, null));
+        RequestGate.Ruling ruling = requestGate.checkSend(attempt, now);
+        if (!ruling.isAllowed()) {
+            recordDenial(attempt, ruling);
+            pendingActions.add(() -> endAttempt(attempt, Result.MOOT, null));
             return false;
         }
-        c.attempt = a;
-        a.connection = c;
-        a.state = Attempt.State.WRITING;
-        a.toldMillis = Math.max(1, (a.request.deadline - now) / MILLI);
-        effects.query(c.id, a.request.asked.statement(), a.toldMillis);
+        connection.attempt = attempt;
+        attempt.connection = connection;
+        attempt.state = Attempt.State.WRITING;
+        attempt.announcedWaitMillis = Math.max(1, (attempt.request.deadline - now) / NANOS_PER_MILLI);
+        effects.query(connection.id, attempt.request.clientRequest.statement(), attempt.announcedWaitMillis);
         return true;
     }
 
-    private void denied(Attempt a, RequestGate.Ruling ruling) {
+    private void recordDenial(Attempt attempt, RequestGate.Ruling ruling) {
         effects.count("not sent", ruling.name());
-        trace(a, "not sent", ruling.name());
+        trace(attempt, "not sent", ruling.name());
     }
 
-    // ---- What is told of requests ----
-
-    private void trace(Request r, String event, String why) {
+    private void trace(Request request, String event, String detail) {
         if (effects.traces()) {
-            effects.trace(r.asked.id(), event, why);
+            effects.trace(request.clientRequest.id(), event, detail);
         }
     }
 
-    private void trace(Attempt a, String event, String why) {
-        if (a.request != null && effects.traces()) {
-            effects.trace(a.request.asked.id(), event, "attempt " + a.number + " server " + a.server.id + " " + why);
+    private void trace(Attempt attempt, String event, String detail) {
+        if (attempt.request != null && effects.traces()) {
+            effects.trace(
+                    attempt.request.clientRequest.id(),
+                    event,
+                    "attempt " + attempt.number + " server " + attempt.server.id + " " + detail);
         }
     }
 
     @Override
-    public void unconnected(Attempt a, boolean full) {
-        actions.add(() -> end(a, full ? Result.FULL : Result.CONNECT_FAILED, null));
+    public void connectionFailed(Attempt attempt, boolean isServerFull) {
+        pendingActions.add(() -> endAttempt(attempt, isServerFull ? Result.FULL : Result.CONNECT_FAILED, null));
     }
 
-    /** Stops waiting for an attempt, by its time-out or by the module's wish. */
-    private void stop(Attempt a, Result why) {
-        if (a.state == Attempt.State.ENDED) {
+    /** Stops waiting for an attempt, because of its timeout or a cancellation. */
+    private void abandonAttempt(Attempt attempt, Result result) {
+        if (attempt.state == Attempt.State.ENDED) {
             return;
         }
-        if (a.state == Attempt.State.WAITING) {
-            pool.withdraw(a);
-            end(a, why == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.MOOT, null);
+        if (attempt.state == Attempt.State.AWAITING_CONNECTION) {
+            serverPool.stopWaiting(attempt);
+            endAttempt(attempt, result == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.MOOT, null);
             return;
         }
         effects.count("ended", "abandoned");
-        pool.drop(a.connection); // the way to abandon an attempt
-        boolean neverRan = a.state == Attempt.State.WRITING; // its last byte never went out
-        end(a, !neverRan ? why : why == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.MOOT, null);
+        serverPool.closeConnection(attempt.connection); // the only way to abandon an attempt that has a connection
+        boolean neverRan = attempt.state == Attempt.State.WRITING; // its last byte was not written
+        endAttempt(attempt, !neverRan ? result : result == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.MOOT, null);
     }
 
-    private void end(Attempt a, Result result, ServerAnswer answer) {
-        if (a.state == Attempt.State.ENDED) {
+    private void endAttempt(Attempt attempt, Result result, ServerAnswer answer) {
+        if (attempt.state == Attempt.State.ENDED) {
             return;
         }
-        a.state = Attempt.State.ENDED;
-        a.mayHaveRun = !result.certain || result == Result.OK;
-        if (a.timeout != null) {
-            a.timeout.cancel();
-        }
-        if (a.connectBy != null) {
-            a.connectBy.cancel();
-        }
-        Report report = answer == null ? null : report(answer.report());
-        learn(a.server, answer, report);
-        Request r = a.request;
-        effects.count(r == null ? "probed" : "outcome", result.name());
-        trace(a, "ended", result.name());
-        if (r == null) {
-            call(() -> module.probed(now, a.server.id, now - a.sentAt, result, report));
+        attempt.state = Attempt.State.ENDED;
+        attempt.mayHaveRun = !result.certain || result == Result.OK;
+        if (attempt.timeoutDeadline != null) {
+            attempt.timeoutDeadline.cancel();
+        }
+        if (attempt.connectDeadline != null) {
+            attempt.connectDeadline.cancel();
+        }
+        Report report = answer == null ? null : toReport(answer.report());
+        updateServer(attempt.server, answer, report);
+        Request request = attempt.request;
+        effects.count(request == null ? "probed" : "outcome", result.name());
+        trace(attempt, "ended", result.name());
+        if (request == null) {
+            callModule(() -> decisionModule.probed(now, attempt.server.id, now - attempt.createdAt, result, report));
             return;
         }
-        r.out--;
-        if (r.accounts != null && !a.mayHaveRun) {
-            r.accounts.giveBack(r.team, r.groupShort, a.number == 0 ? r.charged : a.sentAt);
+        request.openAttemptCount--;
+        if (request.accounts != null && !attempt.mayHaveRun) {
+            request.accounts.giveBack(
+                    request.teamIndex,
+                    request.isGroupShort,
+                    attempt.number == 0 ? request.chargedAt : attempt.createdAt);
         }
-        if (result == Result.OK && !r.over) {
-            finish(r, new Answer.Served(answer.value()));
+        if (result == Result.OK && !request.isOver) {
+            finishRequest(request, new Answer.Served(answer.value()));
         }
-        long position = answer == null ? NO_POSITION : position(answer);
+        long position = answer == null ? NO_POSITION : positionOf(answer);
         Role role = answer == null ? Role.UNKNOWN : answer.role();
-        boolean over = r.over;
-        if (over && r.out == 0) {
-            requests.remove(r.id);
+        boolean isRequestOver = request.isOver;
+        if (isRequestOver && request.openAttemptCount == 0) {
+            requestsById.remove(request.id);
         }
-        call(() ->
-                module.outcome(now, r.id, a.number, a.server.id, result, now - a.sentAt, over, position, role, report));
-    }
-
-    private void learn(ServerPool.Server server, ServerAnswer answer, Report report) {
+        callModule(() -> decisionModule.outcome(
+                now,
+                request.id,
+                attempt.number,
+                attempt.server.id,
+                result,
+                now - attempt.createdAt,
+                isRequestOver,
+                position,
+                role,
+                report));
+    }
+
+    private void updateServer(ServerPool.Server server, ServerAnswer answer, Report report) {
         if (answer == null) {
             return;
         }
-        if (position(answer) != NO_POSITION) {
-            server.position = Math.max(server.position, position(answer));
+        if (positionOf(answer) != NO_POSITION) {
+            server.position = Math.max(server.position, positionOf(answer));
         }
         if (answer.role() != Role.UNKNOWN) {
             server.role = answer.role();
@@ -671,81 +712,88 @@
         }
     }
 
-    /** Guards the rule on the age of data: a position that is still to come is an error, and not believed. */
-    private long believable(long position) {
-        return position <= now + POSITION_SLACK ? position : NO_POSITION;
+    /**
+     * Returns the position, or {@code NO_POSITION} if it lies in the future, which is an error. Trusting a future
+     * position could break the bound on the age of data.
+     */
+    private long positionIfPlausible(long position) {
+        return position <= now + POSITION_TOLERANCE_NANOS ? position : NO_POSITION;
     }
 
-    private long position(ServerAnswer answer) {
-        return answer.positionMillis() < 0 ? NO_POSITION : believable(clocks.fromWallMillis(answer.positionMillis()));
+    private long positionOf(ServerAnswer answer) {
+        return answer.positionMillis() < 0
+                ? NO_POSITION
+                : positionIfPlausible(clocks.fromWallMillis(answer.positionMillis()));
     }
 
-    private Report report(Map<String, Double> fields) {
+    private Report toReport(Map<String, Double> fields) {
         if (fields == null) {
             return null;
         }
-        Double position = fields.get("x0");
-        Double primary = fields.get("x1");
+        Double appliedSeconds = fields.get("x0");
+        Double primaryFlag = fields.get("x1");
         return new Report(
-                position == null ? NO_POSITION : believable(clocks.fromWallSeconds(position)),
-                primary == null
+                appliedSeconds == null ? NO_POSITION : positionIfPlausible(clocks.fromWallSeconds(appliedSeconds)),
+                primaryFlag == null
                         ? Role.UNKNOWN
-                        : primary == 1 ? Role.PRIMARY : primary == 0 ? Role.REPLICA : Role.UNKNOWN,
+                        : primaryFlag == 1 ? Role.PRIMARY : primaryFlag == 0 ? Role.REPLICA : Role.UNKNOWN,
                 fields.getOrDefault("q", -1.0),
                 fields.getOrDefault("rif", -1.0));
     }
 
-    // ---- Final answers ----
+    // Final answers
 
-    /** Ends a request with its one final answer; null where nobody is there to take it. */
-    private void finish(Request r, Answer answer) {
-        if (r.over) {
-            gate.violated(RequestGate.Ruling.ANSWERED_TWICE);
+    /** Ends a request with its only final answer; null if the client has left. */
+    private void finishRequest(Request request, Answer answer) {
+        if (request.isOver) {
+            requestGate.recordViolation(RequestGate.Ruling.ANSWERED_TWICE);
             return;
         }
-        r.over = true;
-        r.overAt = now;
+        request.isOver = true;
+        request.overAt = now;
         trace(
-                r,
+                request,
                 "over",
                 answer == null ? "its client has left" : answer.getClass().getSimpleName());
-        if (r.accounts != null && r.attempts.isEmpty()) {
-            r.accounts.giveBack(r.team, r.groupShort, r.charged); // it went nowhere
-        }
-        r.backstop.cancel();
-        names.remove(r.asked.id());
-        unanswered--;
-        if (r.out == 0) {
-            requests.remove(r.id);
-        }
-        Map<Long, Request> ofClient = open.get(r.client);
-        if (ofClient != null) {
-            ofClient.remove(r.slot);
-            if (ofClient.isEmpty()) {
-                open.remove(r.client);
+        if (request.accounts != null && request.attempts.isEmpty()) {
+            // No attempt was begun.
+            request.accounts.giveBack(request.teamIndex, request.isGroupShort, request.chargedAt);
+        }
+        request.backstopDeadline.cancel();
+        openRequestNames.remove(request.clientRequest.id());
+        unansweredCount--;
+        if (request.openAttemptCount == 0) {
+            requestsById.remove(request.id);
+        }
+        Map<Long, Request> clientRequests = openRequestsByClient.get(request.client);
+        if (clientRequests != null) {
+            clientRequests.remove(request.slot);
+            if (clientRequests.isEmpty()) {
+                openRequestsByClient.remove(request.client);
             }
         }
         if (answer != null) {
-            effects.answer(r.client, r.slot, answer);
+            effects.answer(request.client, request.slot, answer);
         }
-        for (Attempt a : r.attempts) {
-            if (a.state == Attempt.State.WAITING || a.state == Attempt.State.WRITING) {
-                actions.add(() -> stop(a, Result.CANCELLED)); // nobody is left to begin it for
+        for (Attempt attempt : request.attempts) {
+            if (attempt.state == Attempt.State.AWAITING_CONNECTION || attempt.state == Attempt.State.WRITING) {
+                // It must not begin after the request's end.
+                pendingActions.add(() -> abandonAttempt(attempt, Result.CANCELLED));
             }
         }
     }
 
-    /** Guards the rule on answers should the module ever leave a request without one. */
-    private void overdue(Request r) {
-        if (!r.over) {
-            invariants.hold(false, "the module answers before the deadline");
-            finish(r, new Answer.Failed("no answer before the deadline"));
-            call(() -> module.left(now, r.id));
+    /** Fails a request that the module left without an answer, so that every request gets one. */
+    private void failOverdueRequest(Request request) {
+        if (!request.isOver) {
+            invariants.check(false, "the module answers before the deadline");
+            finishRequest(request, new Answer.Failed("no answer before the deadline"));
+            callModule(() -> decisionModule.left(now, request.id));
         }
     }
 
-    /** The key as a number: hexadecimal text as it reads, anything else by a hash of 64 bits. */
-    private static long key(String key) {
+    /** Converts a key to a number: 16 hexadecimal digits by their value, other text by its 64-bit FNV-1a hash. */
+    private static long toNumericKey(String key) {
         if (key.length() == 16) {
             try {
                 return Long.parseUnsignedLong(key, 16);
--- a/router/src/main/java/stoatrill/core/Request.java
+++ b/router/src/main/java/stoatrill/core/Request.java
@@ -7,40 +7,45 @@
 import stoatrill.contract.Accounts;
 import stoatrill.core.Deadlines.Deadline;
 
-/** A request that was taken, from its last byte until its final answer and the end of its last attempt. */
+/** An accepted request, from the arrival of its last byte until its final answer and the end of its last attempt. */
 final class Request {
     final long id;
     final long client;
     final long slot;
-    final ClientRequest asked;
-    final RequestClass kind;
+    final ClientRequest clientRequest;
+    final RequestClass requestClass;
     final long deadline;
     final List<Attempt> attempts = new ArrayList<>(2);
-    int out;
-    boolean over;
-    /** When it came to be over. */
+    /** The number of attempts that have not ended. */
+    int openAttemptCount;
+
+    /** Whether it has its final answer, or its client has left. */
+    boolean isOver;
+    /** When it ended. */
     long overAt;
 
-    Deadline backstop;
-    /** The place of its team where contracts hold, negative where not; and how it was charged. */
-    int team = -1;
+    Deadline backstopDeadline;
+    /** The index of its team; negative if no contracts apply. */
+    int teamIndex = -1;
+
+    /** Whether its group was short of capacity when it was charged. */
+    boolean isGroupShort;
 
-    boolean groupShort;
-    long charged;
-    /** The accounts that it was charged to; after a reload they are no longer those that count. */
+    long chargedAt;
+    /** The accounts that charged it; a reload of the contracts replaces the current accounts, but not these. */
     Accounts accounts;
 
     /** Whether it must not run twice. */
-    boolean once() {
-        return kind.effect() != Gateway.Effect.SAFE;
+    boolean mustRunOnce() {
+        return requestClass.effect() != Gateway.Effect.SAFE;
     }
 
-    Request(long id, long client, long slot, ClientRequest asked, RequestClass kind, long deadline) {
+    Request(long id, long client, long slot, ClientRequest clientRequest, RequestClass requestClass, long deadline) {
         this.id = id;
         this.client = client;
         this.slot = slot;
-        this.asked = asked;
-        this.kind = kind;
+        this.clientRequest = clientRequest;
+        this.requestClass = requestClass;
         this.deadline = deadline;
     }
 }
--- a/router/src/main/java/stoatrill/core/RequestGate.java
+++ b/router/src/main/java/stoatrill/core/RequestGate.java
@@ -11,51 +11,52 @@
 import stoatrill.Gateway.Settings;
 
 /**
- * The one place that says whether something may be begun, sent, repeated, answered or closed now. It is asked at the
- * moment at which it is done, with that moment's time of the monotonic clock, and decides by the state of the request,
- * of its client, of the deadline and of the server; it holds no socket and reads no clock.
+ * Decides whether an action on a request is permitted: to begin, send, repeat or answer it, or to close its client's
+ * connection. No other class makes these decisions. The caller asks at the moment of the action and passes that
+ * moment's time of the monotonic clock. The decision depends on the state of the request, its client, its deadline and
+ * the server. The gate holds no socket and reads no clock.
  *
- * <p>What it does not allow and is not done is no fault. What has been done against it is a violation: counted by rule,
- * and thrown where assertions are on. For one thread.
+ * <p>A denied action that is not taken is no error. An action taken against the rules is a violation: it is counted by
+ * rule, and thrown if assertions are enabled. Not thread-safe.
  */
 final class RequestGate {
-    /** A read decided on longer ago than this is looked at again before it is written, in nanoseconds. */
-    private static final long DECISION_KEEPS = 2_000_000L;
-    /** How long after a request's end an attempt for it may still go out, by the rules, in nanoseconds. */
-    private static final long LEFT_SLACK = 100_000_000L;
-    /** How much longer than what is left a server may be told that its answer is waited for, in nanoseconds. */
-    private static final long WAIT_SLACK = 150_000_000L;
-    /** The part of that slack which an attempt may use up before it is written. */
-    private static final long LATE_WRITE = WAIT_SLACK * 2 / 3;
+    /** An attempt decided on longer ago than this has its server's state checked again before it is written. */
+    private static final long DECISION_VALIDITY_NANOS = 2_000_000L;
+    /** The rules' limit on how long after a request's end an attempt for it may still be sent. */
+    private static final long SEND_AFTER_END_LIMIT_NANOS = 100_000_000L;
+    /** The rules' limit on how much the wait announced to a server may exceed the time until the deadline. */
+    private static final long EXCESS_WAIT_LIMIT_NANOS = 150_000_000L;
+    /** The share of that limit which an attempt may use up before its write begins. */
+    private static final long EXCESS_WAIT_AT_WRITE_LIMIT_NANOS = EXCESS_WAIT_LIMIT_NANOS * 2 / 3;
 
-    /** How long a process may be held up between reading its clock and writing, by the rules, in nanoseconds. */
-    private static final long MOST_HELD_UP = 150_000_000L;
+    /** The longest pause of the process between reading its clock and writing that the rules ask it to bear. */
+    private static final long PROCESS_PAUSE_LIMIT_NANOS = 150_000_000L;
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** What the gate says, and by which rule. */
+    /** A decision of the gate, and the rule behind it. */
     enum Ruling {
         ALLOWED,
         /** The request has its final answer, or its client has left. */
         REQUEST_OVER,
         DEADLINE_PASSED,
         ATTEMPTS_SPENT,
-        /** What is known of the server no longer satisfies the read. */
+        /** By what is known of the server, its data is too old for the read. */
         DATA_TOO_OLD,
-        /** The server drains or is gone, and the grace is nearly over. */
+        /** The server is draining or gone, and its grace is nearly over. */
         SERVER_LEAVING,
-        /** A repeat would no longer be recognised as one. */
+        /** Servers would no longer recognise a repeat as one. */
         REPEAT_WINDOW_OVER,
-        /** The server would be told a longer wait than is left. */
+        /** The wait announced to the server exceeds the time that is left. */
         WAIT_TOLD_TOO_LONG,
-        /** The request has its final answer already. */
+        /** The request already has its final answer. */
         ANSWERED_TWICE,
-        /** A refusal says that a repeat is harmless, and the request may have run. */
+        /** A refusal promises that a repeat is harmless, but the request may have run. */
         REFUSED_THOUGH_IT_MAY_HAVE_RUN,
         /** The client still waits for an answer. */
         ANSWER_OWED;
 
-        boolean allowed() {
+        boolean isAllowed() {
             return this == ALLOWED;
         }
     }
@@ -67,12 +68,12 @@
         this.settings = settings;
     }
 
-    // ---- Attempts ----
+    // Attempts
 
-    /** Whether an attempt may be begun: given a server, and a connection looked for. */
-    Ruling begin(Attempt attempt, long now) {
+    /** Whether an attempt may begin, which means that a connection to its server is sought. */
+    Ruling checkBegin(Attempt attempt, long now) {
         Request request = attempt.request;
-        if (request.over) {
+        if (request.isOver) {
             return Ruling.REQUEST_OVER;
         }
         if (attempt.number >= settings.limits().attempts()) {
@@ -82,9 +83,9 @@
     }
 
     /** Whether an attempt that has a connection may be written to it. */
-    Ruling send(Attempt attempt, long now) {
+    Ruling checkSend(Attempt attempt, long now) {
         Request request = attempt.request;
-        if (request.over) {
+        if (request.isOver) {
             return Ruling.REQUEST_OVER;
         }
         if (now >= request.deadline) {
@@ -96,112 +97,114 @@
         if (isLeaving(attempt, now)) {
             return Ruling.SERVER_LEAVING;
         }
-        return repeatWindowOver(attempt, now) ? Ruling.REPEAT_WINDOW_OVER : Ruling.ALLOWED;
+        return isRepeatWindowOver(attempt, now) ? Ruling.REPEAT_WINDOW_OVER : Ruling.ALLOWED;
     }
 
     /**
-     * Whether an attempt may still go out that was worded for its server earlier, as {@link #send} allowed.
+     * Whether an attempt may still be written that was encoded for its server earlier, when {@link #checkSend} allowed
+     * it.
      *
-     * @param goesOut whether a part of it is out and the server is taking the rest
+     * @param isPartlyWritten whether a part of it is written and the server is reading the rest
      */
-    Ruling sendLate(Attempt attempt, long now, boolean goesOut) {
+    Ruling checkLateSend(Attempt attempt, long now, boolean isPartlyWritten) {
         if (attempt.request == null) {
             return Ruling.ALLOWED; // a probe
         }
-        Ruling ruling = send(attempt, now);
-        if (!ruling.allowed() || goesOut) {
+        Ruling ruling = checkSend(attempt, now);
+        if (!ruling.isAllowed() || isPartlyWritten) {
             return ruling;
         }
         attempt.permittedAt = now;
-        return toldBeyond(attempt, now) > LATE_WRITE ? Ruling.WAIT_TOLD_TOO_LONG : ruling;
+        return excessWaitNanos(attempt, now) > EXCESS_WAIT_AT_WRITE_LIMIT_NANOS ? Ruling.WAIT_TOLD_TOO_LONG : ruling;
     }
 
     /**
-     * The last byte of an attempt is out: counts what that breaks, whoever allowed it. A process that was held up for
-     * longer than the rules ask it to bear, between the gate's word on its first byte and now, could do nothing about
-     * the wait it told.
+     * Records that the last byte of an attempt is written, and counts the rules that this violates, whoever allowed it.
+     * The announced wait is no violation if the process was paused, between the gate's permission for the first byte
+     * and now, for longer than the rules ask it to bear: it could not have prevented that.
      */
-    void sent(Attempt attempt, long now) {
+    void recordSent(Attempt attempt, long now) {
         Request request = attempt.request;
         if (request == null) {
             return;
         }
-        if (request.over && now - request.overAt > LEFT_SLACK) {
-            violated(Ruling.REQUEST_OVER);
+        if (request.isOver && now - request.overAt > SEND_AFTER_END_LIMIT_NANOS) {
+            recordViolation(Ruling.REQUEST_OVER);
         }
-        boolean heldUp = now - attempt.permittedAt > MOST_HELD_UP;
-        if (!heldUp && toldBeyond(attempt, now) > WAIT_SLACK) {
-            violated(Ruling.WAIT_TOLD_TOO_LONG);
+        boolean wasPaused = now - attempt.permittedAt > PROCESS_PAUSE_LIMIT_NANOS;
+        if (!wasPaused && excessWaitNanos(attempt, now) > EXCESS_WAIT_LIMIT_NANOS) {
+            recordViolation(Ruling.WAIT_TOLD_TOO_LONG);
         }
     }
 
-    /** How much longer the server was told to wait than is left, in nanoseconds. */
-    private static long toldBeyond(Attempt attempt, long now) {
-        return attempt.toldMillis * MILLI - (attempt.request.deadline - now);
+    /** How much the wait announced to the server exceeds the time until the deadline, in nanoseconds. */
+    private static long excessWaitNanos(Attempt attempt, long now) {
+        return attempt.announcedWaitMillis * NANOS_PER_MILLI - (attempt.request.deadline - now);
     }
 
     /**
-     * Whether what is known of the server no longer satisfies a bounded read that waited for its connection.
-     * Guards the rule on the age of data, whose bound is counted from the last byte of the send.
+     * Whether the server's known position is too old for a bounded read that waited for its connection. The rule on the
+     * age of data counts its bound from the last byte of the send, so the check at the decision is not enough.
      */
     private boolean isStale(Attempt attempt, long now) {
-        RequestClass kind = attempt.request.kind;
-        return kind.need() == Need.BOUNDED
-                && now - attempt.sentAt > DECISION_KEEPS
+        RequestClass requestClass = attempt.request.requestClass;
+        return requestClass.need() == Need.BOUNDED
+                && now - attempt.createdAt > DECISION_VALIDITY_NANOS
                 && settings.replication().check() == Check.NONE
                 && attempt.server.role != Role.PRIMARY
-                && attempt.server.position < now - kind.bound();
+                && attempt.server.position < now - requestClass.bound();
     }
 
     /**
-     * Whether the server of an attempt that waited for its connection has come to be leaving meanwhile, for half of
-     * the grace or, where that may have been told before it was heard here, at all. Guards the rule on drains, which
-     * counts a send by its first byte.
+     * Whether the server of an attempt that waited for its connection has been leaving for at least half of the grace.
+     * Where the notification may have counted as told before this router heard of it, {@code leavingSince} is already
+     * set back by the whole grace. The rule on drains counts a send by its first byte.
      */
     private boolean isLeaving(Attempt attempt, long now) {
-        return now - attempt.sentAt > DECISION_KEEPS
-                && attempt.server.leavingSince != ServerPool.Server.STAYS
+        return now - attempt.createdAt > DECISION_VALIDITY_NANOS
+                && attempt.server.leavingSince != ServerPool.Server.NOT_LEAVING
                 && now - attempt.server.leavingSince >= settings.rules().drainGrace() / 2;
     }
 
     /**
-     * Whether a further attempt that waited for its connection comes after the class's window for repeats, counted
-     * from when the first that may have run was sent. Guards keyed requests against a repeat that is no longer
-     * recognised as one, where connections come up late or windows are short.
+     * Whether a further attempt of a keyed request comes after the class's repeat window, which starts when the first
+     * attempt that may have run was sent. After the window, servers no longer recognise a repeat as one and would run
+     * it again. This happens when connections are established late or windows are short.
      */
-    private boolean repeatWindowOver(Attempt attempt, long now) {
-        if (attempt.number == 0 || attempt.request.kind.effect() != Gateway.Effect.KEYED) {
+    private boolean isRepeatWindowOver(Attempt attempt, long now) {
+        if (attempt.number == 0 || attempt.request.requestClass.effect() != Gateway.Effect.KEYED) {
             return false;
         }
-        long window = attempt.request.kind.repeatWindow() - settings.rules().answerSlack();
+        long window =
+                attempt.request.requestClass.repeatWindow() - settings.rules().answerSlack();
         return attempt.request.attempts.stream()
-                .anyMatch(other -> other != attempt && other.mayHaveRunByNow() && now >= other.sentAt + window);
+                .anyMatch(other -> other != attempt && other.mayHaveRunByNow() && now >= other.createdAt + window);
     }
 
-    // ---- Answers and ends ----
+    // Answers and client connections
 
-    /** Whether a request may be given this answer; null where nobody is there to take one. */
-    Ruling answer(Request request, Answer answer) {
-        if (request.over) {
+    /** Whether a request may be given this answer; null if the client has left. */
+    Ruling checkAnswer(Request request, Answer answer) {
+        if (request.isOver) {
             return Ruling.ANSWERED_TWICE;
         }
-        boolean mayHaveRun = request.kind.effect() == Effect.UNSAFE
+        boolean mayHaveRun = request.requestClass.effect() == Effect.UNSAFE
                 && request.attempts.stream().anyMatch(Attempt::mayHaveRunByNow);
         return answer instanceof Answer.Refused && mayHaveRun ? Ruling.REFUSED_THOUGH_IT_MAY_HAVE_RUN : Ruling.ALLOWED;
     }
 
-    /** Whether the router may end a client's connection by itself, with so many of its requests unanswered. */
-    Ruling close(int unanswered) {
-        return unanswered > 0 ? Ruling.ANSWER_OWED : Ruling.ALLOWED;
+    /** Whether the router may close a client's connection that has this many unanswered requests. */
+    Ruling checkClose(int unansweredCount) {
+        return unansweredCount > 0 ? Ruling.ANSWER_OWED : Ruling.ALLOWED;
     }
 
-    /** Something was done, or was about to be, that the gate does not allow. */
-    void violated(Ruling rule) {
-        violations.merge(rule, 1L, Long::sum);
-        assert false : rule;
+    /** Records that an action was taken, or was about to be taken, that the gate does not allow. */
+    void recordViolation(Ruling ruling) {
+        violations.merge(ruling, 1L, Long::sum);
+        assert false : ruling;
     }
 
-    /** How often each rule was violated; empty is the good case. */
+    /** How often each rule was violated; empty if none was. */
     Map<Ruling, Long> violations() {
         return new EnumMap<>(violations);
     }
--- a/router/src/main/java/stoatrill/core/ServerDirectory.java
+++ b/router/src/main/java/stoatrill/core/ServerDirectory.java
@@ -11,20 +11,23 @@
 import stoatrill.Gateway.State;
 
 /**
- * The servers that the list has named: their numbers, addresses and groups, and since when each has been leaving. It
- * turns discovery's entries into the module's members, and forgets servers that are gone. Part of the reducer's state
- * and used by its thread alone; times are in nanoseconds of the reducer's clock.
+ * The servers that the server list has named: their ids, addresses and groups, and since when each has been leaving. It
+ * converts discovery's entries to the module's members and removes servers that are gone. Part of the reducer's state
+ * and used by its thread alone. Times are in nanoseconds of the reducer's clock.
  */
 final class ServerDirectory {
     private final ServerPool pool;
     private final Clocks clocks;
     private final Reducer.Setup setup;
-    private final Map<String, ServerPool.Server> byUid = new HashMap<>();
-    private final Map<Long, ServerPool.Server> byNumber = new HashMap<>();
-    private final Set<Integer> groups = new HashSet<>();
-    private long numbers;
-    /** Whether what the list brings next may have counted as told before: at a start, after a call that failed. */
-    private boolean mayBeOld = true;
+    private final Map<String, ServerPool.Server> serversByUid = new HashMap<>();
+    private final Map<Long, ServerPool.Server> serversById = new HashMap<>();
+    private final Set<Integer> knownGroups = new HashSet<>();
+    private long nextServerId;
+    /**
+     * Whether the next news may have counted as told before this router got it. This is so at the start, after a
+     * failed or silent call and after a move.
+     */
+    private boolean nextNewsMayBeOld = true;
 
     ServerDirectory(ServerPool pool, Clocks clocks, Reducer.Setup setup) {
         this.pool = pool;
@@ -32,16 +35,16 @@
         this.setup = setup;
     }
 
-    /** Takes in a list, changes or the lack of both; returns the entries as the module knows them. */
+    /** Applies a list, changes to it or the failure to get either; returns the entries as the module's members. */
     List<Member> update(long now, ListKind kind, List<ServerEntry> entries) {
         List<Member> members = new ArrayList<>(entries.size());
         for (ServerEntry entry : entries) {
             members.add(update(now, entry));
         }
         if (kind == ListKind.FULL) {
-            unlistOthers(now, entries);
+            unlistMissing(now, entries);
         }
-        mayBeOld = switch (kind) {
+        nextNewsMayBeOld = switch (kind) {
             case SILENT, FAILED -> true;
             case CACHED -> !setup.settings().asked();
             case DELTA, FULL -> false;
@@ -50,86 +53,89 @@
     }
 
     private Member update(long now, ServerEntry entry) {
-        ServerPool.Server server = byUid.computeIfAbsent(entry.uid(), uid -> add(entry));
-        groups.add(entry.group());
+        ServerPool.Server server = serversByUid.computeIfAbsent(entry.uid(), uid -> add(entry));
+        knownGroups.add(entry.group());
         if (!server.endpoint.equals(entry.endpoint())) {
-            pool.dropIdle(server);
+            pool.closeIdleConnections(server);
             server.endpoint = entry.endpoint();
         }
-        server.listed = entry.state() != State.GONE;
-        leaves(now, server, entry.state() == State.DRAINING || (!server.listed && removalBinds()));
-        if (!server.listed) {
-            pool.dropIdle(server);
+        server.isListed = entry.state() != State.GONE;
+        setLeaving(now, server, entry.state() == State.DRAINING || (!server.isListed && isRemovalBinding()));
+        if (!server.isListed) {
+            pool.closeIdleConnections(server);
         }
-        long started = entry.bootMillis() <= 0 ? 0 : Math.min(now, clocks.fromWallMillis(entry.bootMillis()));
+        long startedAt = entry.bootMillis() <= 0 ? 0 : Math.min(now, clocks.fromWallMillis(entry.bootMillis()));
         return new Member(
                 server.id,
                 entry.group(),
-                place(setup.zones(), entry.zone()),
-                place(setup.models(), entry.model()),
+                indexOf(setup.zones(), entry.zone()),
+                indexOf(setup.models(), entry.model()),
                 entry.size(),
-                started,
+                startedAt,
                 entry.primary(),
                 entry.state());
     }
 
     private ServerPool.Server add(ServerEntry entry) {
-        ServerPool.Server server = new ServerPool.Server(numbers++, entry.endpoint());
-        byNumber.put(server.id, server);
+        ServerPool.Server server = new ServerPool.Server(nextServerId++, entry.endpoint());
+        serversById.put(server.id, server);
         return server;
     }
 
-    /** A whole list names all that there are. */
-    private void unlistOthers(long now, List<ServerEntry> entries) {
-        Set<String> named = new HashSet<>();
-        entries.forEach(entry -> named.add(entry.uid()));
-        byUid.forEach((uid, server) -> {
-            if (!named.contains(uid)) {
-                server.listed = false;
-                leaves(now, server, server.leavingSince != ServerPool.Server.STAYS || removalBinds());
+    /** Marks servers that a full list does not name as not listed. */
+    private void unlistMissing(long now, List<ServerEntry> entries) {
+        Set<String> listedUids = new HashSet<>();
+        entries.forEach(entry -> listedUids.add(entry.uid()));
+        serversByUid.forEach((uid, server) -> {
+            if (!listedUids.contains(uid)) {
+                server.isListed = false;
+                setLeaving(now, server, server.leavingSince != ServerPool.Server.NOT_LEAVING || isRemovalBinding());
             }
         });
     }
 
-    private void leaves(long now, ServerPool.Server server, boolean leaves) {
-        if (!leaves) {
-            server.leavingSince = ServerPool.Server.STAYS;
-        } else if (server.leavingSince == ServerPool.Server.STAYS) {
-            server.leavingSince = now - (mayBeOld ? setup.settings().rules().drainGrace() : 0);
+    private void setLeaving(long now, ServerPool.Server server, boolean isLeaving) {
+        if (!isLeaving) {
+            server.leavingSince = ServerPool.Server.NOT_LEAVING;
+        } else if (server.leavingSince == ServerPool.Server.NOT_LEAVING) {
+            server.leavingSince =
+                    now - (nextNewsMayBeOld ? setup.settings().rules().drainGrace() : 0);
         }
     }
 
-    private boolean removalBinds() {
+    private boolean isRemovalBinding() {
         return setup.settings().rules().removalBinds();
     }
 
-    /** Guards memory where servers are replaced throughout: nothing is kept of one that is gone and unused. */
-    void forgetGone() {
-        byUid.values().removeIf(server -> !server.listed && !server.used() && byNumber.remove(server.id) != null);
+    /** Removes servers that are gone and unused, so that memory stays bounded while servers are replaced. */
+    void removeGoneServers() {
+        serversByUid
+                .values()
+                .removeIf(server -> !server.isListed && !server.isInUse() && serversById.remove(server.id) != null);
     }
 
-    /** The list is to be had from another place, and what that one has may have counted before. */
-    void moved() {
-        mayBeOld = true;
+    /** Handles a change of the discovery address: news from there may already have counted as told. */
+    void listMoved() {
+        nextNewsMayBeOld = true;
     }
 
-    /** The server of that number; one without an endpoint if it is gone. */
-    ServerPool.Server server(long number) {
-        ServerPool.Server known = byNumber.get(number);
-        return known != null ? known : new ServerPool.Server(number, null);
+    /** The server with this id; one without an endpoint if it is gone. */
+    ServerPool.Server findServer(long id) {
+        ServerPool.Server known = serversById.get(id);
+        return known != null ? known : new ServerPool.Server(id, null);
     }
 
-    /** Whether the list has ever named a server of that group. */
+    /** Whether the server list has ever named a server of this group. */
     boolean knowsGroup(int group) {
-        return groups.contains(group);
+        return knownGroups.contains(group);
     }
 
-    /** How many entries are held, by name and by number together. */
-    int size() {
-        return byUid.size() + byNumber.size();
+    /** The number of entries held, by uid and by id together. */
+    int entryCount() {
+        return serversByUid.size() + serversById.size();
     }
 
-    private static int place(List<String> names, String name) {
+    private static int indexOf(List<String> names, String name) {
         return Math.max(0, names.indexOf(name));
     }
 }
--- a/router/src/main/java/stoatrill/core/ServerEntry.java
+++ b/router/src/main/java/stoatrill/core/ServerEntry.java
@@ -3,7 +3,12 @@
 import java.net.InetSocketAddress;
 import stoatrill.Gateway.State;
 
-/** What discovery says of a server; {@code bootMillis} is the Unix time of its last start, 0 for long ago. */
+/**
+ * An entry of discovery's server list.
+ *
+ * @param size compares the capacity of servers, without a unit
+ * @param bootMillis Unix time of the server's last start; 0 for long ago
+ */
 public record ServerEntry(
         String uid,
         InetSocketAddress endpoint,
--- a/router/src/main/java/stoatrill/core/ServerPool.java
+++ b/router/src/main/java/stoatrill/core/ServerPool.java
@@ -10,51 +10,55 @@
 import stoatrill.Gateway;
 import stoatrill.core.Deadlines.Deadline;
 
-/** The connections to servers: one attempt at a time on each, warm ones used again, all under one budget. */
+/**
+ * The connections to servers. Each carries one attempt at a time, idle ones are reused, and one limit applies to all.
+ */
 final class ServerPool {
 
-    /** What the pool tells its owner; none of these may call the pool back for the same connection. */
+    /** Callbacks of the pool to its owner; none of them may call the pool back for the same connection. */
     interface Owner {
-        /** The connection is up and free: write the attempt to it, or return false if it is not to go out. */
-        boolean write(Connection connection, Attempt attempt);
+        /** Writes the attempt to a connection that is established and free; returns false if it must not be sent. */
+        boolean writeAttempt(Connection connection, Attempt attempt);
 
-        /** No connection could be had for an attempt that was never written. */
-        void unconnected(Attempt attempt, boolean full);
+        /** Ends an attempt that was never written because no connection could be established for it. */
+        void connectionFailed(Attempt attempt, boolean isServerFull);
     }
 
-    /** How the pool is sized at first, and timed; the spans are in nanoseconds. */
-    record Limits(int connections, long connectTimeout, long idle) {}
+    /** The pool's initial connection limit and its timeouts in nanoseconds. */
+    record Limits(int maxConnections, long connectTimeout, long idleTimeout) {}
 
-    /** A server that the list has named. */
+    /** A server that the server list has named. */
     static final class Server {
         final long id;
         InetSocketAddress endpoint;
-        /** What it has told of itself: a lower bound of its position, and its role. */
+        /** A lower bound of its log position, from its own answers and reports. */
         long position = Gateway.NO_POSITION;
 
+        /** Its role, from its own answers. */
         Gateway.Role role = Gateway.Role.UNKNOWN;
-        private final Set<Attempt> waiting = new LinkedHashSet<>();
-        private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-        private int connecting;
-        private int connections;
-        /** Whether the list has it; nothing is kept at rest to a server that it has not. */
-        boolean listed = true;
+
+        private final Set<Attempt> waitingAttempts = new LinkedHashSet<>();
+        private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+        private int connectingCount;
+        private int connectionCount;
+        /** Whether the server list contains it; no idle connections are kept to a server that is not listed. */
+        boolean isListed = true;
         /**
-         * When this router was told, at the latest, that the server drains or is gone; {@link #STAYS} if it was
-         * not.
+         * When this router was notified that the server drains or is gone, at the latest: earlier by the grace if the
+         * notification may have counted as told before. {@link #NOT_LEAVING} if there was none.
          */
-        long leavingSince = STAYS;
+        long leavingSince = NOT_LEAVING;
 
-        static final long STAYS = Long.MAX_VALUE;
+        static final long NOT_LEAVING = Long.MAX_VALUE;
 
         Server(long id, InetSocketAddress endpoint) {
             this.id = id;
             this.endpoint = endpoint;
         }
 
-        /** Whether anything is under way to it, or rests. */
-        boolean used() {
-            return connections > 0 || !waiting.isEmpty();
+        /** Whether it has a connection or a waiting attempt. */
+        boolean isInUse() {
+            return connectionCount > 0 || !waitingAttempts.isEmpty();
         }
     }
 
@@ -63,9 +67,9 @@
         final long id;
         final Server server;
         Attempt attempt;
-        private boolean up;
-        private long restedAt;
-        private Deadline limit;
+        private boolean isEstablished;
+        private long idleSince;
+        private Deadline timeout;
 
         private Connection(long id, Server server) {
             this.id = id;
@@ -73,212 +77,225 @@
         }
     }
 
-    /** How long after an answer a server's closing, or what it sends too much, has surely come. */
-    private static final long SETTLES = 2_000_000L;
+    /** How long after an answer the server's close of the connection, or surplus data, has certainly arrived. */
+    private static final long SETTLE_TIME_NANOS = 2_000_000L;
 
     private final Effects effects;
     private final Deadlines deadlines;
     private final Owner owner;
     private final Limits limits;
-    private final Map<Long, Connection> connections = new HashMap<>();
-    private int most;
-    private final Set<Server> starved = new LinkedHashSet<>();
-    private long ids;
+    private final Map<Long, Connection> connectionsById = new HashMap<>();
+    private int maxConnections;
+    private final Set<Server> serversAwaitingCapacity = new LinkedHashSet<>();
+    private long nextConnectionId;
 
     ServerPool(Effects effects, Deadlines deadlines, Owner owner, Limits limits) {
         this.effects = effects;
         this.deadlines = deadlines;
         this.owner = owner;
         this.limits = limits;
-        this.most = limits.connections();
+        this.maxConnections = limits.maxConnections();
     }
 
-    /** Sets how many connections there may be from now on; the longest at rest beyond that are closed. */
-    void most(long now, int connections) {
-        most = connections;
-        while (this.connections.size() > most && shed(null)) {
-            // one more is closed
+    /** Sets the limit of connections; closes idle connections beyond it, the earliest opened first. */
+    void setMaxConnections(long now, int newLimit) {
+        maxConnections = newLimit;
+        while (this.connectionsById.size() > maxConnections && closeIdleElsewhere(null)) {
+            // each call closes one connection
         }
-        refill(now);
+        openDeferredConnections(now);
     }
 
-    /** How many connections there are, at work, at rest or being opened. */
+    /** The number of connections that are busy, idle or being opened. */
     int size() {
-        return connections.size();
+        return connectionsById.size();
     }
 
     Connection get(long id) {
-        return connections.get(id);
+        return connectionsById.get(id);
     }
 
-    /** Finds a connection for the attempt: a warm one, or one opened for it. */
-    void take(long now, Attempt attempt) {
+    /** Finds a connection for the attempt: an idle one, or one opened for it. */
+    void assignConnection(long now, Attempt attempt) {
         Server server = attempt.server;
-        Connection warm = warm(now, server, attempt.request == null || !attempt.request.once());
-        if (warm != null) {
-            if (!owner.write(warm, attempt)) {
-                rest(now, warm);
+        Connection warmConnection =
+                takeWarmConnection(now, server, attempt.request == null || !attempt.request.mustRunOnce());
+        if (warmConnection != null) {
+            if (!owner.writeAttempt(warmConnection, attempt)) {
+                releaseConnection(now, warmConnection);
             }
             return;
         }
-        server.waiting.add(attempt);
-        attempt.connectBy = deadlines.at(now + limits.connectTimeout(), () -> {
-            // Guards against a peer that never comes up and sends no sign of it.
-            if (server.waiting.remove(attempt)) {
+        server.waitingAttempts.add(attempt);
+        attempt.connectDeadline = deadlines.at(now + limits.connectTimeout(), () -> {
+            // The peer may never accept the connection and give no sign of it.
+            if (server.waitingAttempts.remove(attempt)) {
                 effects.count("unconnected", "timeout");
-                owner.unconnected(attempt, false);
+                owner.connectionFailed(attempt, false);
             }
         });
-        open(now, server);
+        openConnections(now, server);
     }
 
     /**
-     * Takes a warm connection out of rest, the latest that has settled; an unsettled one only if it may be.
-     * Guards requests from servers that close, or send more, right behind an answer: a moment later that shows.
+     * Takes an idle connection for reuse: the one used last among those that have settled or, if none has settled and
+     * {@code allowUnsettled}, the one that has been idle longest. Closes connections on which data was received. A
+     * server may close the connection or send surplus data right after an answer; that shows once the connection has
+     * settled.
      */
-    private Connection warm(long now, Server server, boolean unsettled) {
-        for (Connection c : List.copyOf(server.idle)) {
-            if ((now - c.restedAt >= SETTLES || (unsettled && c == server.idle.peekLast()))) {
-                if (effects.quiet(c.id)) {
+    private Connection takeWarmConnection(long now, Server server, boolean allowUnsettled) {
+        for (Connection candidate : List.copyOf(server.idleConnections)) {
+            if ((now - candidate.idleSince >= SETTLE_TIME_NANOS
+                    || (allowUnsettled && candidate == server.idleConnections.peekLast()))) {
+                if (effects.quiet(candidate.id)) {
                     effects.count("connection", "warm");
-                    server.idle.remove(c);
-                    c.limit.cancel();
-                    return c;
+                    server.idleConnections.remove(candidate);
+                    candidate.timeout.cancel();
+                    return candidate;
                 }
-                drop(c);
+                closeConnection(candidate);
             }
         }
         return null;
     }
 
-    /** Takes back an attempt that still waits for a connection; what was opened for it stays. */
-    boolean withdraw(Attempt attempt) {
-        if (attempt.connectBy != null) {
-            attempt.connectBy.cancel();
+    /** Removes an attempt that waits for a connection; connections opened for it stay. */
+    boolean stopWaiting(Attempt attempt) {
+        if (attempt.connectDeadline != null) {
+            attempt.connectDeadline.cancel();
         }
-        return attempt.server.waiting.remove(attempt);
+        return attempt.server.waitingAttempts.remove(attempt);
     }
 
-    private void open(long now, Server server) {
-        while (server.connecting < server.waiting.size()) {
-            if (connections.size() >= most && !shed(server)) {
-                starved.add(server);
+    private void openConnections(long now, Server server) {
+        while (server.connectingCount < server.waitingAttempts.size()) {
+            if (connectionsById.size() >= maxConnections && !closeIdleElsewhere(server)) {
+                serversAwaitingCapacity.add(server);
                 return;
             }
-            Connection connection = new Connection(ids++, server);
-            connections.put(connection.id, connection);
-            server.connecting++;
-            server.connections++;
-            connection.limit = deadlines.at(now + limits.connectTimeout(), () -> {
+            Connection connection = new Connection(nextConnectionId++, server);
+            connectionsById.put(connection.id, connection);
+            server.connectingCount++;
+            server.connectionCount++;
+            connection.timeout = deadlines.at(now + limits.connectTimeout(), () -> {
                 effects.close(connection.id);
-                broken(now + limits.connectTimeout(), connection, false);
+                connectionLost(now + limits.connectTimeout(), connection, false);
             });
             effects.open(connection.id, server.endpoint);
         }
-        starved.remove(server);
+        serversAwaitingCapacity.remove(server);
     }
 
-    /** Gives up the longest idle connection to some other server, so that the budget is not spent on rest. */
-    private boolean shed(Server but) {
-        Connection longest = null;
-        for (Connection c : connections.values()) {
-            if (c.up && c.attempt == null && c.server != but && (longest == null || c.id < longest.id)) {
-                longest = c;
+    /**
+     * Closes the idle connection that was opened first, other than those to {@code excluded}, so that idle connections
+     * don't use up the limit. Returns whether there was one.
+     */
+    private boolean closeIdleElsewhere(Server excluded) {
+        Connection oldest = null;
+        for (Connection candidate : connectionsById.values()) {
+            if (candidate.isEstablished
+                    && candidate.attempt == null
+                    && candidate.server != excluded
+                    && (oldest == null || candidate.id < oldest.id)) {
+                oldest = candidate;
             }
         }
-        if (longest != null) {
+        if (oldest != null) {
             effects.count("ended", "shed");
-            drop(longest);
+            closeConnection(oldest);
         }
-        return longest != null;
+        return oldest != null;
     }
 
-    /** A connection has come up. */
-    void connected(long now, Connection connection) {
-        connection.limit.cancel();
-        connection.up = true;
-        connection.server.connecting--;
-        if (!serve(connection)) {
-            rest(now, connection);
+    /** Handles a connection that is established. */
+    void connectionEstablished(long now, Connection connection) {
+        connection.timeout.cancel();
+        connection.isEstablished = true;
+        connection.server.connectingCount--;
+        if (!serveWaitingAttempt(connection)) {
+            releaseConnection(now, connection);
         }
     }
 
-    /** Gives the connection to the longest waiting attempt; false if none wants it. */
-    private boolean serve(Connection connection) {
-        Set<Attempt> waiting = connection.server.waiting;
-        while (!waiting.isEmpty()) {
-            Attempt next = waiting.iterator().next();
-            withdraw(next);
-            if (owner.write(connection, next)) {
+    /** Assigns the connection to the attempt that has waited longest; false if no attempt uses it. */
+    private boolean serveWaitingAttempt(Connection connection) {
+        Set<Attempt> waitingAttempts = connection.server.waitingAttempts;
+        while (!waitingAttempts.isEmpty()) {
+            Attempt next = waitingAttempts.iterator().next();
+            stopWaiting(next);
+            if (owner.writeAttempt(connection, next)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** A connection is free: it rests until its limit, and once it has settled serves who waits. */
-    void rest(long now, Connection connection) {
+    /** Makes a connection idle until its idle timeout. Once it has settled, it serves attempts that wait. */
+    void releaseConnection(long now, Connection connection) {
         Server server = connection.server;
         connection.attempt = null;
-        connection.restedAt = now;
-        if (!server.waiting.isEmpty()) {
-            deadlines.at(now + SETTLES, () -> {
-                Connection c = server.waiting.isEmpty() ? null : warm(now + SETTLES, server, false);
-                if (c != null && !serve(c)) {
-                    rest(now + SETTLES, c);
+        connection.idleSince = now;
+        if (!server.waitingAttempts.isEmpty()) {
+            deadlines.at(now + SETTLE_TIME_NANOS, () -> {
+                Connection settled = server.waitingAttempts.isEmpty()
+                        ? null
+                        : takeWarmConnection(now + SETTLE_TIME_NANOS, server, false);
+                if (settled != null && !serveWaitingAttempt(settled)) {
+                    releaseConnection(now + SETTLE_TIME_NANOS, settled);
                 }
             });
         }
-        if (!server.listed) {
-            drop(connection);
+        if (!server.isListed) {
+            closeConnection(connection);
             return;
         }
-        server.idle.addFirst(connection);
-        connection.limit = deadlines.at(now + limits.idle(), () -> drop(connection));
+        server.idleConnections.addFirst(connection);
+        connection.timeout = deadlines.at(now + limits.idleTimeout(), () -> closeConnection(connection));
     }
 
-    /** Closes a connection and forgets it; the attempt on it, if any, is the caller's to end. */
-    void drop(Connection connection) {
+    /** Closes and removes a connection; the caller ends the attempt on it, if there is one. */
+    void closeConnection(Connection connection) {
         effects.close(connection.id);
-        forget(connection);
+        removeConnection(connection);
     }
 
-    private void forget(Connection connection) {
-        if (connections.remove(connection.id) != null) {
-            connection.server.connections--;
+    private void removeConnection(Connection connection) {
+        if (connectionsById.remove(connection.id) != null) {
+            connection.server.connectionCount--;
         }
-        connection.server.idle.remove(connection);
-        connection.limit.cancel();
+        connection.server.idleConnections.remove(connection);
+        connection.timeout.cancel();
     }
 
-    /** A connection has ended by itself; {@code full} if the server said that it holds too many. */
-    void broken(long now, Connection connection, boolean full) {
-        forget(connection);
+    /** Handles a connection that ended; {@code isServerFull} if the server said that it has too many connections. */
+    void connectionLost(long now, Connection connection, boolean isServerFull) {
+        removeConnection(connection);
         Server server = connection.server;
-        String opening = full ? "refused as full" : "connecting";
-        effects.count("ended", !connection.up ? opening : connection.attempt == null ? "resting" : "at work");
-        if (!connection.up) {
-            server.connecting--;
-            if (!server.waiting.isEmpty() && server.waiting.size() > server.connecting) {
-                Attempt first = server.waiting.iterator().next();
-                withdraw(first);
-                owner.unconnected(first, full);
+        String openingCause = isServerFull ? "refused as full" : "connecting";
+        effects.count(
+                "ended", !connection.isEstablished ? openingCause : connection.attempt == null ? "resting" : "at work");
+        if (!connection.isEstablished) {
+            server.connectingCount--;
+            if (!server.waitingAttempts.isEmpty() && server.waitingAttempts.size() > server.connectingCount) {
+                Attempt longestWaiting = server.waitingAttempts.iterator().next();
+                stopWaiting(longestWaiting);
+                owner.connectionFailed(longestWaiting, isServerFull);
             }
         }
     }
 
-    /** Opens what had to wait for the budget. */
-    void refill(long now) {
-        if (!starved.isEmpty() && connections.size() < most) {
-            for (Server server : List.copyOf(starved)) {
-                open(now, server);
+    /** Opens connections that waited for the connection limit. */
+    void openDeferredConnections(long now) {
+        if (!serversAwaitingCapacity.isEmpty() && connectionsById.size() < maxConnections) {
+            for (Server server : List.copyOf(serversAwaitingCapacity)) {
+                openConnections(now, server);
             }
         }
     }
 
-    void dropIdle(Server server) {
-        while (!server.idle.isEmpty()) {
-            drop(server.idle.peekFirst());
+    void closeIdleConnections(Server server) {
+        while (!server.idleConnections.isEmpty()) {
+            closeConnection(server.idleConnections.peekFirst());
         }
     }
 }
--- a/router/src/main/java/stoatrill/core/Statement.java
+++ b/router/src/main/java/stoatrill/core/Statement.java
@@ -1,8 +1,8 @@
 package stoatrill.core;
 
-/** What a client asked, in the words of its protocol; only the time to wait is worded anew. */
+/** A client's statement as encoded by its protocol; only the announced wait is replaced for each attempt. */
 public interface Statement {
 
-    /** The statement's bytes with the time, in milliseconds, that the router will wait for the answer. */
+    /** The statement's bytes, including how long the router waits for the answer, in milliseconds. */
     byte[] withWait(long waitMillis);
 }
--- a/router/src/main/java/stoatrill/core/Tally.java
+++ b/router/src/main/java/stoatrill/core/Tally.java
@@ -4,18 +4,18 @@
 import java.util.TreeMap;
 
 /**
- * Counts what one router does by subject and cause, so that the logs of a fleet can be added up. Used by the
- * thread that counts; kept only where the log's level asks for it.
+ * Counts the events of one router by subject and cause, so that the counts in the logs of a fleet can be added up. Not
+ * thread-safe. Created only if the log level includes the counts.
  */
 public final class Tally {
     private final Map<String, Long> counts = new TreeMap<>();
 
-    /** Counts one more. */
-    public void add(String what, String why) {
-        counts.merge(what + '.' + why, 1L, Long::sum);
+    /** Counts one event. */
+    public void add(String subject, String cause) {
+        counts.merge(subject + '.' + cause, 1L, Long::sum);
     }
 
-    /** What was counted since the last call, as {@code subject.cause=number} in the order of the names. */
+    /** Returns and resets the counts as {@code subject.cause=number}, sorted by name. */
     public String take() {
         StringBuilder line = new StringBuilder("counts");
         counts.forEach((name, number) ->
--- a/router/src/main/java/stoatrill/core/package-info.java
+++ b/router/src/main/java/stoatrill/core/package-info.java
@@ -1,2 +1,2 @@
-/** The reducer: every event of the sockets goes in, effects come out; it holds no socket and reads no clock. */
+/** The reducer: takes the events of the sockets and produces effects; it holds no socket and reads no clock. */
 package stoatrill.core;
--- a/router/src/test/java/stoatrill/core/AnsweredUnderFaultsTest.java
+++ b/router/src/test/java/stoatrill/core/AnsweredUnderFaultsTest.java
@@ -22,33 +22,33 @@
 import stoatrill.scenario.Scenario;
 
 /**
- * The reducer and the module on fake time, with thousands of requests before servers that fail in every way: their
- * connections come up late, never or are refused, requests hang or are cut off before or after their last byte,
- * answers are errors, misses, refusals or rubbish, and come late; servers drain and return, discovery fails, clients
- * leave or take requests back. Each request that its client still waits for gets its one answer in time, nothing is
- * begun for one that nobody waits for, and no server is told more time than its client has left.
+ * Runs the reducer and the module on fake time, with thousands of requests to servers that fail in every way:
+ * connections are established late or never, or are refused; requests hang or are cut off before or after their last
+ * byte; answers are errors, misses, refusals or malformed, or come late; servers drain and return; discovery fails;
+ * clients disconnect or cancel requests. Checks that each request whose client waits gets exactly one answer in time,
+ * that no attempt begins for other requests, and that no server is told a longer wait than its client has left.
  */
 class AnsweredUnderFaultsTest extends QuietEffects {
-    private static final long MS = 1_000_000L;
-    private static final long START = 1_700_000_000_000L * MS;
-    private static final int REQUESTS = 20_000;
-    private static final int CLIENTS = 40;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long START_TIME = 1_700_000_000_000L * NANOS_PER_MILLI;
+    private static final int REQUEST_COUNT = 20_000;
+    private static final int CLIENT_COUNT = 40;
     private static final long NEVER = Long.MAX_VALUE / 2;
-    private static final int MOST_SHOWN = 10;
-    /** What the protocol adds to every limit in time. */
-    private static final long SLACK = 50 * MS;
-    /** An attempt that begins so long after its client's end is a break of the rules. */
-    private static final long AFTER_THE_END = 100 * MS;
+    private static final int SHOWN_VIOLATION_COUNT = 10;
+    /** The tolerance that the protocol adds to every time limit. */
+    private static final long TIME_TOLERANCE_NANOS = 50 * NANOS_PER_MILLI;
+    /** An attempt that begins later than this after its client left or cancelled breaks the rules. */
+    private static final long ATTEMPT_AFTER_END_LIMIT_NANOS = 100 * NANOS_PER_MILLI;
 
-    /** A request as its client sees it; it is also the statement that reaches the servers. */
-    private static final class Asked implements Statement {
+    /** A request as its client sees it; also the statement that is sent to the servers. */
+    private static final class SimulatedRequest implements Statement {
         private final long client;
         private final long deadline;
-        private long leftAt = NEVER;
-        private int attempts;
-        private int answers;
+        private long endedByClientAt = NEVER;
+        private int attemptCount;
+        private int answerCount;
 
-        Asked(long client, long deadline) {
+        SimulatedRequest(long client, long deadline) {
             this.client = client;
             this.deadline = deadline;
         }
@@ -59,31 +59,31 @@
         }
     }
 
-    private final TreeMap<Long, List<Runnable>> later = new TreeMap<>();
-    private final List<Asked> asked = new ArrayList<>();
-    private final Map<Integer, String> byPort = new HashMap<>();
-    private final Map<Long, String> serverOf = new HashMap<>();
-    private final Map<Long, Long> openedAt = new HashMap<>();
-    private final Set<Long> used = new HashSet<>();
-    private final List<String> faults = new ArrayList<>();
+    private final TreeMap<Long, List<Runnable>> scheduledActions = new TreeMap<>();
+    private final List<SimulatedRequest> requests = new ArrayList<>();
+    private final Map<Integer, String> serverByPort = new HashMap<>();
+    private final Map<Long, String> serverByConnection = new HashMap<>();
+    private final Map<Long, Long> openedAtByConnection = new HashMap<>();
+    private final Set<Long> usedConnections = new HashSet<>();
+    private final List<String> violations = new ArrayList<>();
     private Reducer reducer;
     private SplittableRandom random;
-    private long now = START;
-    private long served;
-    private long further;
-    private long furtherThatWaited;
+    private long now = START_TIME;
+    private long servedCount;
+    private long furtherAttemptCount;
+    private long delayedFurtherAttemptCount;
 
-    private void start(long seed) throws Exception {
+    private void startReducer(long seed) throws Exception {
         random = new SplittableRandom(seed);
-        String text = Scenario.config().replace("\"mostHeld\": 5", "\"mostHeld\": 5000");
-        for (int port = 1; text.contains("127.0.0.1:9\", \"az\""); port++) {
-            byPort.put(port, List.of("", "r1", "r2", "p").get(port));
-            text = text.replaceFirst("127.0.0.1:9\", \"az\"", "127.0.0.1:" + port + "\", \"az\"");
+        String configText = Scenario.config().replace("\"mostHeld\": 5", "\"mostHeld\": 5000");
+        for (int port = 1; configText.contains("127.0.0.1:9\", \"az\""); port++) {
+            serverByPort.put(port, List.of("", "r1", "r2", "p").get(port));
+            configText = configText.replaceFirst("127.0.0.1:9\", \"az\"", "127.0.0.1:" + port + "\", \"az\"");
         }
-        Config config = Config.parse(text, Map.of());
+        Config config = Config.parse(configText, Map.of());
         reducer = new Reducer(
                 this,
-                new Clocks(START, START),
+                new Clocks(START_TIME, START_TIME),
                 new Deadlines(),
                 new Reducer.Setup(
                         config.settings(),
@@ -97,68 +97,73 @@
         reducer.members(now, ListKind.CACHED, ServerList.parse(config.known()).entries());
     }
 
-    private void pass(long millis) {
-        for (long end = now + millis * MS; now < end; ) {
-            now += MS;
-            while (!later.isEmpty() && later.firstKey() <= now) {
-                later.pollFirstEntry().getValue().forEach(Runnable::run);
+    private void advance(long millis) {
+        for (long end = now + millis * NANOS_PER_MILLI; now < end; ) {
+            now += NANOS_PER_MILLI;
+            while (!scheduledActions.isEmpty() && scheduledActions.firstKey() <= now) {
+                scheduledActions.pollFirstEntry().getValue().forEach(Runnable::run);
             }
             reducer.tick(now);
         }
     }
 
-    private void after(long millis, Runnable what) {
-        later.computeIfAbsent(now + Math.max(1, millis) * MS, t -> new ArrayList<>())
-                .add(what);
+    private void schedule(long millis, Runnable action) {
+        scheduledActions
+                .computeIfAbsent(now + Math.max(1, millis) * NANOS_PER_MILLI, t -> new ArrayList<>())
+                .add(action);
     }
 
-    private boolean chance(double share) {
-        return random.nextDouble() < share;
+    private boolean randomlyTrue(double probability) {
+        return random.nextDouble() < probability;
     }
 
-    // ---- Clients and discovery ----
+    // Clients and discovery
 
-    private void ask() {
-        int kind = random.nextInt(100);
-        String name = kind < 45 ? "recent" : kind < 90 ? "archive" : "upload";
-        long giveUp = kind < 45 ? 600 : kind < 90 ? 500 : 3_000;
-        long wait = chance(0.1) ? 1 + random.nextInt(40) : giveUp / 4 + random.nextLong(giveUp);
-        Asked one = new Asked(random.nextInt(CLIENTS), now + wait * MS);
-        long slot = asked.size();
-        asked.add(one);
+    private void sendRandomRequest() {
+        int classDraw = random.nextInt(100);
+        String className = classDraw < 45 ? "recent" : classDraw < 90 ? "archive" : "upload";
+        long giveUpMillis = classDraw < 45 ? 600 : classDraw < 90 ? 500 : 3_000;
+        long waitMillis = randomlyTrue(0.1) ? 1 + random.nextInt(40) : giveUpMillis / 4 + random.nextLong(giveUpMillis);
+        SimulatedRequest request =
+                new SimulatedRequest(random.nextInt(CLIENT_COUNT), now + waitMillis * NANOS_PER_MILLI);
+        long slot = requests.size();
+        requests.add(request);
         reducer.request(
                 now,
-                one.client,
+                request.client,
                 slot,
-                new ClientRequest("q" + slot, name, "k", 0, wait, 0, chance(0.1), kind >= 90, one));
-        if (chance(0.03)) {
-            after(random.nextInt(300), () -> takeBack(slot));
+                new ClientRequest(
+                        "q" + slot, className, "k", 0, waitMillis, 0, randomlyTrue(0.1), classDraw >= 90, request));
+        if (randomlyTrue(0.03)) {
+            schedule(random.nextInt(300), () -> cancelRequest(slot));
         }
     }
 
-    private void takeBack(long slot) {
-        Asked one = asked.get((int) slot);
-        one.leftAt = Math.min(one.leftAt, now);
-        reducer.cancelled(now, one.client, slot);
+    private void cancelRequest(long slot) {
+        SimulatedRequest request = requests.get((int) slot);
+        request.endedByClientAt = Math.min(request.endedByClientAt, now);
+        reducer.cancelled(now, request.client, slot);
     }
 
-    private void leave(long client) {
-        for (Asked one : asked) {
-            if (one.client == client && one.answers == 0 && now <= one.deadline + SLACK) {
-                one.leftAt = Math.min(one.leftAt, now);
+    private void disconnectClient(long client) {
+        for (SimulatedRequest request : requests) {
+            if (request.client == client
+                    && request.answerCount == 0
+                    && now <= request.deadline + TIME_TOLERANCE_NANOS) {
+                request.endedByClientAt = Math.min(request.endedByClientAt, now);
             }
         }
         reducer.clientGone(now, client);
     }
 
-    private void listed() throws Exception {
-        if (chance(0.4)) {
-            reducer.members(now, chance(0.5) ? ListKind.FAILED : ListKind.SILENT, List.of());
+    private void updateServerList() throws Exception {
+        if (randomlyTrue(0.4)) {
+            reducer.members(now, randomlyTrue(0.5) ? ListKind.FAILED : ListKind.SILENT, List.of());
             return;
         }
         String uid = List.of("r1", "r2", "p").get(random.nextInt(3));
-        String state = chance(0.15) ? "Terminating" : "Ready";
-        String entry = "{'uid':'" + uid + "','endpoint':'127.0.0.1:" + port(uid) + "','az':'"
+        String state = randomlyTrue(0.15) ? "Terminating" : "Ready";
+        String entry = "{'uid':'" + uid + "','endpoint':'127.0.0.1:" + portOf(uid) + "','az':'"
                 + (uid.equals("r1") ? "north" : "south") + "','model':'m','pod_group':0,'state':'" + state
                 + "','access':'" + (uid.equals("p") ? "writer" : "reader") + "'}";
         reducer.members(
@@ -168,8 +173,8 @@
                         .entries());
     }
 
-    private int port(String uid) {
-        return byPort.entrySet().stream()
+    private int portOf(String uid) {
+        return serverByPort.entrySet().stream()
                 .filter(e -> e.getValue().equals(uid))
                 .findFirst()
                 .orElseThrow()
@@ -178,125 +183,136 @@
 
     @Override
     public void answer(long client, long slot, Answer answer) {
-        Asked one = asked.get((int) slot);
-        one.answers++;
-        served += answer instanceof Answer.Served ? 1 : 0;
-        if (one.answers > 1) {
-            faults.add("request " + slot + " got a second answer");
+        SimulatedRequest request = requests.get((int) slot);
+        request.answerCount++;
+        servedCount += answer instanceof Answer.Served ? 1 : 0;
+        if (request.answerCount > 1) {
+            violations.add("request " + slot + " got a second answer");
         }
-        if (now > one.deadline + SLACK) {
-            faults.add("request " + slot + " was answered " + (now - one.deadline) / MS + " ms late");
+        if (now > request.deadline + TIME_TOLERANCE_NANOS) {
+            violations.add(
+                    "request " + slot + " was answered " + (now - request.deadline) / NANOS_PER_MILLI + " ms late");
         }
     }
 
-    // ---- Servers ----
+    // Servers
 
     @Override
     public void open(long connection, InetSocketAddress endpoint) {
-        serverOf.put(connection, byPort.get(endpoint.getPort()));
-        openedAt.put(connection, now);
-        int fate = random.nextInt(100);
-        if (fate < 50) {
-            after(1 + random.nextInt(3), () -> reducer.connected(now, connection));
-        } else if (fate < 93) {
-            after(
-                    chance(0.8) ? 25 + random.nextInt(100) : random.nextInt(1_500),
+        serverByConnection.put(connection, serverByPort.get(endpoint.getPort()));
+        openedAtByConnection.put(connection, now);
+        int outcomeDraw = random.nextInt(100);
+        if (outcomeDraw < 50) {
+            schedule(1 + random.nextInt(3), () -> reducer.connected(now, connection));
+        } else if (outcomeDraw < 93) {
+            schedule(
+                    randomlyTrue(0.8) ? 25 + random.nextInt(100) : random.nextInt(1_500),
                     () -> reducer.connected(now, connection));
-        } else if (fate < 98) {
-            after(1, () -> reducer.broken(now, connection, fate < 97 ? Break.ENDED : Break.FULL));
-        } // else it never comes up
+        } else if (outcomeDraw < 98) {
+            schedule(1, () -> reducer.broken(now, connection, outcomeDraw < 97 ? Break.ENDED : Break.FULL));
+        } // else it is never established
     }
 
     @Override
     public void query(long connection, Statement statement, long waitMillis) {
-        Asked one = (Asked) statement;
-        boolean waited = used.add(connection) && now - openedAt.get(connection) > 20 * MS;
-        further += one.attempts > 0 ? 1 : 0;
-        furtherThatWaited += one.attempts > 0 && waited ? 1 : 0;
-        one.attempts++;
-        // At least 1 ms is told, since 0 would be no time to wait.
-        if (waitMillis > 1 && now + waitMillis * MS > one.deadline) {
-            faults.add("attempt " + one.attempts + " told its server " + (now + waitMillis * MS - one.deadline) / MS
+        SimulatedRequest request = (SimulatedRequest) statement;
+        boolean isDelayed =
+                usedConnections.add(connection) && now - openedAtByConnection.get(connection) > 20 * NANOS_PER_MILLI;
+        furtherAttemptCount += request.attemptCount > 0 ? 1 : 0;
+        delayedFurtherAttemptCount += request.attemptCount > 0 && isDelayed ? 1 : 0;
+        request.attemptCount++;
+        // At least 1 ms is announced, since 0 would mean no time to wait.
+        if (waitMillis > 1 && now + waitMillis * NANOS_PER_MILLI > request.deadline) {
+            violations.add("attempt " + request.attemptCount + " told its server "
+                    + (now + waitMillis * NANOS_PER_MILLI - request.deadline) / NANOS_PER_MILLI
                     + " ms more than its client has left");
         }
-        if (now - one.leftAt > AFTER_THE_END) {
-            faults.add("an attempt began " + (now - one.leftAt) / MS + " ms after its client's end");
+        if (now - request.endedByClientAt > ATTEMPT_AFTER_END_LIMIT_NANOS) {
+            violations.add("an attempt began " + (now - request.endedByClientAt) / NANOS_PER_MILLI
+                    + " ms after its client left or cancelled");
         }
-        if (one.answers > 0) {
-            faults.add("an attempt began for a request that had its answer");
+        if (request.answerCount > 0) {
+            violations.add("an attempt began for a request that had its answer");
         }
         respond(connection);
     }
 
     private void respond(long connection) {
-        String server = serverOf.get(connection);
-        int fate = random.nextInt(100);
-        if (fate < 2) {
-            after(random.nextInt(20), () -> reducer.broken(now, connection, Break.ENDED)); // before its last byte
+        String server = serverByConnection.get(connection);
+        int outcomeDraw = random.nextInt(100);
+        if (outcomeDraw < 2) {
+            schedule(
+                    random.nextInt(20),
+                    () -> reducer.broken(now, connection, Break.ENDED)); // before its last byte is written
             return;
         }
-        if (fate < 3) {
-            return; // its last byte never leaves
+        if (outcomeDraw < 3) {
+            return; // its last byte is never written
         }
-        after(1, () -> reducer.written(connection));
-        if (fate < 5) {
+        schedule(1, () -> reducer.written(connection));
+        if (outcomeDraw < 5) {
             return; // hangs
         }
-        if (fate < 10) {
-            Break how = fate < 8 ? Break.ENDED : Break.SPOILT;
-            after(2 + random.nextInt(200), () -> reducer.broken(now, connection, how));
+        if (outcomeDraw < 10) {
+            Break cause = outcomeDraw < 8 ? Break.ENDED : Break.SPOILT;
+            schedule(2 + random.nextInt(200), () -> reducer.broken(now, connection, cause));
             return;
         }
-        Result result = fate < 14 ? Result.ERROR : fate < 16 ? Result.FULL : fate < 17 ? Result.MISS : Result.OK;
-        long takes = chance(0.03) ? random.nextInt(2_000) : 3 + random.nextInt(40);
-        boolean reusable = chance(0.6);
-        after(2 + takes, () -> reducer.answered(now, connection, answer(server, result), reusable));
+        Result result = outcomeDraw < 14
+                ? Result.ERROR
+                : outcomeDraw < 16 ? Result.FULL : outcomeDraw < 17 ? Result.MISS : Result.OK;
+        long serviceMillis = randomlyTrue(0.03) ? random.nextInt(2_000) : 3 + random.nextInt(40);
+        boolean reusable = randomlyTrue(0.6);
+        schedule(2 + serviceMillis, () -> reducer.answered(now, connection, serverAnswer(server, result), reusable));
     }
 
-    private ServerAnswer answer(String server, Result result) {
+    private ServerAnswer serverAnswer(String server, Result result) {
         Role role = server.equals("p") ? Role.PRIMARY : Role.REPLICA;
-        long position = now / MS - (chance(0.2) ? random.nextInt(2_000) : 0);
-        return new ServerAnswer(result, chance(0.9) ? role : Role.UNKNOWN, position, null, new byte[1]);
+        long position = now / NANOS_PER_MILLI - (randomlyTrue(0.2) ? random.nextInt(2_000) : 0);
+        return new ServerAnswer(result, randomlyTrue(0.9) ? role : Role.UNKNOWN, position, null, new byte[1]);
     }
 
     @Override
     public boolean quiet(long connection) {
-        return random == null || chance(0.97);
+        return random == null || randomlyTrue(0.97);
     }
 
-    // ---- The terms ----
-
     /**
-     * Stricter than the operators, who leave one request in 500 and five more without an answer, and a fifth of the
-     * further attempts with 0.15 s too much.
+     * Stricter than the operators' rules, which tolerate one request in 500 plus five more without an answer, and an
+     * announced wait that is 0.15 s too long in a fifth of the further attempts.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void everyRequestGetsItsAnswerInTimeAndNoServerIsToldMoreThanItsClientHasLeft(long seed) throws Exception {
-        start(seed);
-        while (asked.size() < REQUESTS) {
-            pass(1);
-            if (chance(0.2)) {
-                ask();
+    void answersEveryRequestInTimeAndAnnouncesNoLongerWaitThanIsLeft(long seed) throws Exception {
+        startReducer(seed);
+        while (requests.size() < REQUEST_COUNT) {
+            advance(1);
+            if (randomlyTrue(0.2)) {
+                sendRandomRequest();
             }
-            if (chance(0.003)) {
-                leave(random.nextInt(CLIENTS));
+            if (randomlyTrue(0.003)) {
+                disconnectClient(random.nextInt(CLIENT_COUNT));
             }
-            if (chance(0.001)) {
-                listed();
+            if (randomlyTrue(0.001)) {
+                updateServerList();
             }
         }
-        pass(10_000);
-        long unanswered = asked.stream()
-                .filter(one -> one.answers == 0 && one.leftAt == NEVER)
+        advance(10_000);
+        long unanswered = requests.stream()
+                .filter(request -> request.answerCount == 0 && request.endedByClientAt == NEVER)
                 .count();
         assertEquals(0, unanswered, "requests without any answer");
-        assertEquals(List.of(), faults.subList(0, Math.min(MOST_SHOWN, faults.size())), faults.size() + " faults");
+        assertEquals(
+                List.of(),
+                violations.subList(0, Math.min(SHOWN_VIOLATION_COUNT, violations.size())),
+                violations.size() + " violations");
         assertEquals(Map.of(), reducer.brokenInvariants());
         assertEquals(0, reducer.unanswered());
-        String shown = "seed " + seed + ": " + served + " served, " + further + " further attempts, "
-                + furtherThatWaited + " of them waited";
-        System.out.println(shown);
-        assertTrue(served > REQUESTS / 20 && further > 100 && furtherThatWaited > 20, shown);
+        String summary = "seed " + seed + ": " + servedCount + " served, " + furtherAttemptCount + " further attempts, "
+                + delayedFurtherAttemptCount + " of them waited for their connection";
+        System.out.println(summary);
+        assertTrue(
+                servedCount > REQUEST_COUNT / 20 && furtherAttemptCount > 100 && delayedFurtherAttemptCount > 20,
+                summary);
     }
 }
--- a/router/src/test/java/stoatrill/core/DeadlinesTest.java
+++ b/router/src/test/java/stoatrill/core/DeadlinesTest.java
@@ -8,57 +8,64 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
+/** Compares the timer queue with a sorted map on random calls, and checks the order of actions that add deadlines. */
 class DeadlinesTest {
 
     @Test
-    void passesAndTakesBackWhatASortedMapWould() {
+    void runsAndCancelsDeadlinesLikeASortedMap() {
         for (int seed = 0; seed < 50; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Deadlines deadlines = new Deadlines();
-            TreeMap<List<Long>, Integer> sorted = new TreeMap<>((a, b) ->
+            TreeMap<List<Long>, Integer> pendingByTime = new TreeMap<>((a, b) ->
                     a.get(0).equals(b.get(0)) ? Long.compare(a.get(1), b.get(1)) : Long.compare(a.get(0), b.get(0)));
-            List<Deadlines.Deadline> made = new ArrayList<>();
+            List<Deadlines.Deadline> created = new ArrayList<>();
             List<List<Long>> keys = new ArrayList<>();
             List<Integer> passed = new ArrayList<>();
             List<Integer> expected = new ArrayList<>();
-            long[] spans = {300, 50_000_000L, 2_000_000_000L, 60_000_000_000L}; // near, within and beyond the rings
-            long step = 0;
-            for (int steps = 0; steps < 2000; steps++) {
-                step += random.nextInt(10) == 0 ? random.nextLong(spans[random.nextInt(4)]) : random.nextInt(1_000_000);
-                if (made.isEmpty() || random.nextInt(5) < 3) {
-                    int id = made.size();
-                    long at = step + random.nextLong(spans[random.nextInt(4)]);
-                    made.add(deadlines.at(at, () -> passed.add(id)));
-                    keys.add(List.of(at, (long) id));
-                    sorted.put(keys.get(id), id);
+            long[] spanLimits = {300, 50_000_000L, 2_000_000_000L, 60_000_000_000L
+            }; // in the heap, within and beyond the buckets
+            long now = 0;
+            for (int step = 0; step < 2000; step++) {
+                now += random.nextInt(10) == 0
+                        ? random.nextLong(spanLimits[random.nextInt(4)])
+                        : random.nextInt(1_000_000);
+                if (created.isEmpty() || random.nextInt(5) < 3) {
+                    int id = created.size();
+                    long dueAt = now + random.nextLong(spanLimits[random.nextInt(4)]);
+                    created.add(deadlines.at(dueAt, () -> passed.add(id)));
+                    keys.add(List.of(dueAt, (long) id));
+                    pendingByTime.put(keys.get(id), id);
                 } else if (random.nextInt(3) > 0) {
-                    int id = random.nextInt(made.size());
-                    made.get(id).cancel();
-                    sorted.remove(keys.get(id));
+                    int id = random.nextInt(created.size());
+                    created.get(id).cancel();
+                    pendingByTime.remove(keys.get(id));
                 } else {
-                    deadlines.sweep(step);
-                    while (!sorted.isEmpty() && sorted.firstKey().get(0) <= step) {
-                        expected.add(sorted.pollFirstEntry().getValue());
+                    deadlines.sweep(now);
+                    while (!pendingByTime.isEmpty() && pendingByTime.firstKey().get(0) <= now) {
+                        expected.add(pendingByTime.pollFirstEntry().getValue());
                     }
                 }
                 assertEquals(expected, passed);
                 assertEquals(
-                        sorted.isEmpty() ? Long.MAX_VALUE : sorted.firstKey().get(0), deadlines.next());
+                        pendingByTime.isEmpty()
+                                ? Long.MAX_VALUE
+                                : pendingByTime.firstKey().get(0),
+                        deadlines.next());
             }
         }
     }
 
     @Test
-    void whatAnActionAddsForNowWaitsForTheNextSweep() {
+    void runsADeadlineAddedByAnActionInTheNextSweep() {
         Deadlines deadlines = new Deadlines();
-        List<String> ran = new ArrayList<>();
+        List<String> executed = new ArrayList<>();
         deadlines.at(5, () -> {
-            ran.add("first");
-            deadlines.at(5, () -> ran.add("second"));
+            executed.add("first");
+            deadlines.at(5, () -> executed.add("second"));
         });
         deadlines.sweep(5);
-        assertEquals(List.of("first"), ran);
+        assertEquals(List.of("first"), executed);
         deadlines.sweep(5);
-        assertEquals(List.of("first", "second"), ran);
+        assertEquals(List.of("first", "second"), executed);
     }
 }
--- a/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
+++ b/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
@@ -21,84 +21,83 @@
 import stoatrill.scenario.Scenario;
 
 /**
- * When a leaving server counts as told, and when the last byte may begin to it: the discovery client, the reducer
- * and the module together on fake time, before a discovery that knows when each change counts. Reads and uploads
- * come all the time; some connections come up late and some requests hang, so that sends wait, go again and get
- * second copies.
+ * Checks that no query is written to a draining server after its grace, which starts when the drain counts as notified.
+ * Runs the discovery client, the reducer and the module together on fake time, against a simulated discovery that knows
+ * when each change counts as notified. Reads and uploads arrive all the time. Some connections are established late and
+ * some requests hang, so that sends wait, are retried and get second copies.
  */
 abstract class DrainNotificationHarness extends QuietEffects implements DiscoveryClient.Peer {
-    static final long MS = 1_000_000L;
-    static final long START = 1_700_000_000_000L * MS;
-    /** What the protocol adds to every limit in time. */
-    static final long SLACK = 50 * MS;
+    static final long NANOS_PER_MILLI = 1_000_000L;
+    static final long START_TIME = 1_700_000_000_000L * NANOS_PER_MILLI;
+    /** The tolerance that the protocol adds to every time limit. */
+    static final long TIME_TOLERANCE_NANOS = 50 * NANOS_PER_MILLI;
 
     static final long NEVER = Long.MAX_VALUE;
 
-    final Map<Integer, String> byPort = new HashMap<>();
-    final TreeMap<Long, List<Runnable>> later = new TreeMap<>();
-    final List<String> late = new ArrayList<>();
-    final Map<String, Long> leftAt = new HashMap<>();
-    final Map<String, Long> toldAt = new HashMap<>();
-    final Map<Long, String> serverOf = new HashMap<>();
+    final Map<Integer, String> serverByPort = new HashMap<>();
+    final TreeMap<Long, List<Runnable>> scheduledActions = new TreeMap<>();
+    final List<String> lateSends = new ArrayList<>();
+    final Map<String, Long> drainedAtByServer = new HashMap<>();
+    final Map<String, Long> notifiedAtByServer = new HashMap<>();
+    final Map<Long, String> serverByConnection = new HashMap<>();
     Reducer reducer;
     DiscoveryClient client;
-    boolean asked;
-    long grace;
-    long askWithin;
-    long now = START;
-    long slots;
-    long sent;
-    long toLeaving;
-    long listCalls;
-    long knownAt = NEVER;
+    boolean isListOnRequest;
+    long graceNanos;
+    long askWithinNanos;
+    long now = START_TIME;
+    long nextSlot;
+    long sentCount;
+    long sentToLeavingCount;
+    long listCallCount;
+    long firstListAt = NEVER;
     long connectMillis = 1;
 
-    // Discovery, as the page has it.
+    // The simulated discovery
     long version = 5;
-    long queue;
-    boolean down;
-    int lostCalls;
-    int silences;
-    long callAt = START;
-    long connection;
-    long parkedFrom = -1;
-    long parkedUntil;
-    boolean silent;
-    long silentTold = NEVER;
-    /** How a discovery that is away meets a call. */
-    String meets = "refuses";
-
-    boolean outstanding;
-    /** Whether a call failed, was refused or given up, and none was answered since; when discovery was back. */
-    boolean failing;
-
-    long backAt = START;
-    /** From such a call on a change counts so long after discovery had it and could be reached. */
-    static final long AFTER_FAILURE = 6_000 * MS;
-    /** After SIGHUP a change that the new discovery has counts so long later. */
-    static final long AFTER_MOVE = 4_000 * MS;
-
-    void start(String discovery, long graceMillis) throws Exception {
-        asked = discovery.equals("asked");
-        grace = graceMillis * MS;
-        String text = Scenario.config()
-                .replace("\"drainGrace\": 2000000000", "\"drainGrace\": " + grace)
-                .replace("on_request", asked ? "on_request" : "pushed")
+    long queueMillis;
+    boolean isDown;
+    int callsToLose;
+    int watchesToSilence;
+    long lastCallAt = START_TIME;
+    long currentConnection;
+    long heldCallVersion = -1;
+    long heldCallUntil;
+    boolean isSilent;
+    long silenceNotifiedAt = NEVER;
+    /** What happens to a call while discovery is down. */
+    String failureMode = "refuses";
+
+    boolean isCallPending;
+    /** Whether a call failed, was refused or was given up, and none was answered since. */
+    boolean isFailing;
+
+    /** When discovery last went down or came back. */
+    long reachableSince = START_TIME;
+    /** After a failed call, a change counts as notified this long after discovery had it and was reachable. */
+    static final long NOTIFIED_AFTER_FAILURE_NANOS = 6_000 * NANOS_PER_MILLI;
+    /** After SIGHUP, a change that the new discovery has counts as notified this much later. */
+    static final long NOTIFIED_AFTER_MOVE_NANOS = 4_000 * NANOS_PER_MILLI;
+
+    void startRouter(String discovery, long graceMillis) throws Exception {
+        isListOnRequest = discovery.equals("asked");
+        graceNanos = graceMillis * NANOS_PER_MILLI;
+        String configText = Scenario.config()
+                .replace("\"drainGrace\": 2000000000", "\"drainGrace\": " + graceNanos)
+                .replace("on_request", isListOnRequest ? "on_request" : "pushed")
                 .replace("\"mostHeld\": 5", "\"mostHeld\": 5000")
-                .replace(
-                        "30000000000",
-                        "30000000"); // connections rest for a moment only, so that sends wait for new ones
+                .replace("30000000000", "30000000"); // a short idle timeout, so that sends wait for new connections
         int port = 1;
-        while (text.contains("127.0.0.1:9\", \"az\"")) {
-            byPort.put(port, List.of("", "r1", "r2", "p").get(port));
-            text = text.replaceFirst("127.0.0.1:9\", \"az\"", "127.0.0.1:" + port++ + "\", \"az\"");
+        while (configText.contains("127.0.0.1:9\", \"az\"")) {
+            serverByPort.put(port, List.of("", "r1", "r2", "p").get(port));
+            configText = configText.replaceFirst("127.0.0.1:9\", \"az\"", "127.0.0.1:" + port++ + "\", \"az\"");
         }
-        Config config = Config.parse(text, Map.of());
-        askWithin = config.settings().rules().askWithin();
+        Config config = Config.parse(configText, Map.of());
+        askWithinNanos = config.settings().rules().askWithin();
         Deadlines deadlines = new Deadlines();
         reducer = new Reducer(
                 this,
-                new Clocks(START, START),
+                new Clocks(START_TIME, START_TIME),
                 deadlines,
                 new Reducer.Setup(
                         config.settings(),
@@ -112,130 +111,135 @@
         client = new DiscoveryClient(
                 this, deadlines, "h", 5, DiscoveryClient.Timing.of(config.settings(), config.seed()));
         reducer.members(now, ListKind.CACHED, ServerList.parse(config.known()).entries());
-        if (!asked) {
+        if (!isListOnRequest) {
             client.follow(now, true); // as the event loop does
         }
     }
 
-    /** Plays so long, a step of a millisecond at a time. */
-    void pass(long millis) {
-        for (long end = now + millis * MS; now < end; ) {
-            now += MS;
-            while (!later.isEmpty() && later.firstKey() <= now) {
-                later.pollFirstEntry().getValue().forEach(Runnable::run);
+    /** Advances the time in steps of one millisecond. */
+    void advance(long millis) {
+        for (long end = now + millis * NANOS_PER_MILLI; now < end; ) {
+            now += NANOS_PER_MILLI;
+            while (!scheduledActions.isEmpty() && scheduledActions.firstKey() <= now) {
+                scheduledActions.pollFirstEntry().getValue().forEach(Runnable::run);
             }
             reducer.tick(now);
-            if (now / MS % 7 == 0) {
-                ask("archive", false);
+            if (now / NANOS_PER_MILLI % 7 == 0) {
+                sendRequest("archive", false);
             }
-            if (now / MS % 31 == 0) {
-                ask("upload", true);
+            if (now / NANOS_PER_MILLI % 31 == 0) {
+                sendRequest("upload", true);
             }
         }
     }
 
-    void after(long millis, Runnable what) {
-        later.computeIfAbsent(now + millis * MS, t -> new ArrayList<>()).add(what);
+    void schedule(long millis, Runnable action) {
+        scheduledActions
+                .computeIfAbsent(now + millis * NANOS_PER_MILLI, t -> new ArrayList<>())
+                .add(action);
     }
 
-    void ask(String kind, boolean writes) {
-        long slot = slots++;
+    void sendRequest(String className, boolean writes) {
+        long slot = nextSlot++;
         reducer.request(
-                now, 1, slot, new ClientRequest("q" + slot, kind, "k", 0, 500, 0, false, writes, wait -> new byte[1]));
+                now,
+                1,
+                slot,
+                new ClientRequest("q" + slot, className, "k", 0, 500, 0, false, writes, wait -> new byte[1]));
     }
 
-    // ---- What happens at discovery ----
+    // Events at discovery
 
-    /** A server drains: from now on discovery shows it, and it counts as told by the page's clocks. */
-    void drain(String uid) {
+    /** Drains a server: discovery lists it as draining from now on. Sets when that counts as notified. */
+    void drainServer(String uid) {
         version++;
-        leftAt.put(uid, now);
-        long told = NEVER;
-        if (silent) {
-            told = silentTold;
-        } else if (!asked && !down) {
-            told = now;
-        } else if (asked && parkedFrom < 0 && !down) {
-            told = Math.max(now, callAt) + askWithin;
+        drainedAtByServer.put(uid, now);
+        long notifiedAt = NEVER;
+        if (isSilent) {
+            notifiedAt = silenceNotifiedAt;
+        } else if (!isListOnRequest && !isDown) {
+            notifiedAt = now;
+        } else if (isListOnRequest && heldCallVersion < 0 && !isDown) {
+            notifiedAt = Math.max(now, lastCallAt) + askWithinNanos;
         }
-        toldAt.put(uid, told);
-        countFailure();
-        if (parkedFrom >= 0 && !silent && !down) {
+        notifiedAtByServer.put(uid, notifiedAt);
+        applyFailureRule();
+        if (heldCallVersion >= 0 && !isSilent && !isDown) {
             answer();
         }
     }
 
-    /** The watch that is open, or else the next, falls silent. */
-    void fallSilent() {
-        if (parkedFrom >= 0) {
-            silent = true;
-            silentTold = Math.max(now + 6_000 * MS, parkedUntil + 2_000 * MS);
+    /** Makes the open watch, or else the next one, fall silent. */
+    void silenceWatch() {
+        if (heldCallVersion >= 0) {
+            isSilent = true;
+            silenceNotifiedAt = Math.max(now + 6_000 * NANOS_PER_MILLI, heldCallUntil + 2_000 * NANOS_PER_MILLI);
         } else {
-            silences++;
+            watchesToSilence++;
         }
     }
 
-    void reset() {
-        parkedFrom = -1;
-        failed();
+    void resetConnection() {
+        heldCallVersion = -1;
+        callFailed();
         client.broken(now);
     }
 
-    void failed() {
-        failing = true;
-        outstanding = false;
-        countFailure();
+    void callFailed() {
+        isFailing = true;
+        isCallPending = false;
+        applyFailureRule();
     }
 
-    /** What the term on failed calls says, where that is sooner than what the older ones say. */
-    void countFailure() {
-        if (failing && !down) {
-            leftAt.forEach((uid, at) ->
-                    toldAt.merge(uid, Math.max(now, Math.max(at, backAt) + AFTER_FAILURE), Math::min));
+    /** Applies the rule on failed calls where it sets an earlier time of notification than the other rules. */
+    void applyFailureRule() {
+        if (isFailing && !isDown) {
+            drainedAtByServer.forEach((uid, at) -> notifiedAtByServer.merge(
+                    uid, Math.max(now, Math.max(at, reachableSince) + NOTIFIED_AFTER_FAILURE_NANOS), Math::min));
         }
     }
 
-    void down(boolean is) {
-        down = is;
-        backAt = now;
-        if (is && asked && parkedFrom >= 0) {
-            reset();
-        } else if (!is && !asked) {
-            leftAt.keySet().forEach(uid -> toldAt.merge(uid, now, Math::min));
-            if (parkedFrom >= 0 && parkedFrom < version && !silent) {
+    void setDown(boolean goesDown) {
+        isDown = goesDown;
+        reachableSince = now;
+        if (goesDown && isListOnRequest && heldCallVersion >= 0) {
+            resetConnection();
+        } else if (!goesDown && !isListOnRequest) {
+            drainedAtByServer.keySet().forEach(uid -> notifiedAtByServer.merge(uid, now, Math::min));
+            if (heldCallVersion >= 0 && heldCallVersion < version && !isSilent) {
                 answer();
             }
-        } else if (!is) {
-            callAt = now;
-            leftAt.keySet().forEach(uid -> toldAt.merge(uid, now + askWithin, Math::min));
+        } else if (!goesDown) {
+            lastCallAt = now;
+            drainedAtByServer.keySet().forEach(uid -> notifiedAtByServer.merge(uid, now + askWithinNanos, Math::min));
         }
-        countFailure();
+        applyFailureRule();
     }
 
     void answer() {
         StringBuilder targets = new StringBuilder();
-        leftAt.forEach((uid, at) -> {
+        drainedAtByServer.forEach((uid, at) -> {
             targets.append(targets.isEmpty() ? "" : ",")
                     .append("{\"uid\":\"")
                     .append(uid)
                     .append("\",\"endpoint\":\"127.0.0.1:")
-                    .append(port(uid))
+                    .append(portOf(uid))
                     .append("\",\"az\":\"")
                     .append(uid.equals("r1") ? "north" : "south")
                     .append("\",\"pod_group\":0,\"state\":\"Terminating\"}");
-            toldAt.merge(uid, now, Math::min);
-            knownAt = Math.min(knownAt, now);
+            notifiedAtByServer.merge(uid, now, Math::min);
+            firstListAt = Math.min(firstListAt, now);
         });
-        parkedFrom = -1;
-        failing = false;
+        heldCallVersion = -1;
+        isFailing = false;
         String body = "{\"rev\":" + version + ",\"all\":false,\"targets\":[" + targets + "]}";
         reply("200 OK", body);
     }
 
     void reply(String status, String body) {
-        outstanding = false;
+        isCallPending = false;
         if (!status.startsWith("200")) {
-            failed();
+            callFailed();
         }
         client.received(
                 now,
@@ -243,21 +247,21 @@
                         .getBytes(StandardCharsets.US_ASCII)));
     }
 
-    int port(String uid) {
-        return byPort.entrySet().stream()
+    int portOf(String uid) {
+        return serverByPort.entrySet().stream()
                 .filter(e -> e.getValue().equals(uid))
                 .findFirst()
                 .orElseThrow()
                 .getKey();
     }
 
-    // ---- The discovery client's peer ----
+    // Peer of the discovery client
 
     @Override
     public void open() {
-        long mine = ++connection;
-        after(1, () -> {
-            if (mine == connection) {
+        long ownConnection = ++currentConnection;
+        schedule(1, () -> {
+            if (ownConnection == currentConnection) {
                 client.connected(now);
             }
         });
@@ -265,55 +269,60 @@
 
     @Override
     public void send(byte[] request) {
-        callAt = now;
+        lastCallAt = now;
         String line = new String(request, StandardCharsets.US_ASCII);
-        long from = line.contains("from=") ? Long.parseLong(line.replaceAll("(?s).*from=(\\d+).*", "$1")) : -1;
-        long hold = line.contains("hold_ms=") ? Long.parseLong(line.replaceAll("(?s).*hold_ms=(\\d+).*", "$1")) : 0;
-        long mine = connection;
-        outstanding = true;
-        if (lostCalls > 0) {
-            lostCalls--;
+        long callVersion = line.contains("from=") ? Long.parseLong(line.replaceAll("(?s).*from=(\\d+).*", "$1")) : -1;
+        long holdMillis =
+                line.contains("hold_ms=") ? Long.parseLong(line.replaceAll("(?s).*hold_ms=(\\d+).*", "$1")) : 0;
+        long ownConnection = currentConnection;
+        isCallPending = true;
+        if (callsToLose > 0) {
+            callsToLose--;
             return;
         }
-        long until = now + hold * MS;
-        after(Math.max(1, queue), () -> {
-            if (mine != connection) {
+        long heldUntil = now + holdMillis * NANOS_PER_MILLI;
+        schedule(Math.max(1, queueMillis), () -> {
+            if (ownConnection != currentConnection) {
                 return;
             }
-            if (down && asked) {
-                switch (meets) {
-                    case "resets" -> reset();
+            if (isDown && isListOnRequest) {
+                switch (failureMode) {
+                    case "resets" -> resetConnection();
                     case "says half" ->
                         client.received(
                                 now,
                                 ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Le".getBytes(StandardCharsets.US_ASCII)));
                     case "queues" ->
-                        after(1_900, () -> {
-                            if (mine == connection) {
+                        schedule(1_900, () -> {
+                            if (ownConnection == currentConnection) {
                                 reply("503 Busy", "");
                             }
                         });
                     case "says nothing" -> {}
                     default -> reply("503 Down", "");
                 }
-            } else if (!down && (from < version || hold == 0)) {
+            } else if (!isDown && (callVersion < version || holdMillis == 0)) {
                 answer();
             } else {
-                park(from, until, mine);
+                holdCall(callVersion, heldUntil, ownConnection);
             }
         });
     }
 
-    void park(long from, long until, long mine) {
-        parkedFrom = from;
-        parkedUntil = until;
-        silent = false;
-        if (silences > 0) {
-            silences--;
-            fallSilent();
+    void holdCall(long callVersion, long heldUntil, long ownConnection) {
+        heldCallVersion = callVersion;
+        heldCallUntil = heldUntil;
+        isSilent = false;
+        if (watchesToSilence > 0) {
+            watchesToSilence--;
+            silenceWatch();
         }
-        after(Math.max(1, (until - now) / MS), () -> {
-            if (mine == connection && parkedFrom == from && parkedUntil == until && !silent && !down) {
+        schedule(Math.max(1, (heldUntil - now) / NANOS_PER_MILLI), () -> {
+            if (ownConnection == currentConnection
+                    && heldCallVersion == callVersion
+                    && heldCallUntil == heldUntil
+                    && !isSilent
+                    && !isDown) {
                 answer();
             }
         });
@@ -321,41 +330,42 @@
 
     @Override
     public void close() {
-        connection++;
-        if (outstanding) {
-            failed();
+        currentConnection++;
+        if (isCallPending) {
+            callFailed();
         }
-        parkedFrom = -1;
-        silent = false;
+        heldCallVersion = -1;
+        isSilent = false;
     }
 
     @Override
-    public void members(long at, ListKind kind, List<ServerEntry> entries) {
-        reducer.members(at, kind, entries);
+    public void members(long eventTime, ListKind listKind, List<ServerEntry> entries) {
+        reducer.members(eventTime, listKind, entries);
     }
 
-    // ---- The reducer's effects ----
+    // Effects of the reducer
 
     @Override
     public void open(long id, InetSocketAddress endpoint) {
-        serverOf.put(id, byPort.get(endpoint.getPort()));
-        after(id % 3 == 0 ? 230 : connectMillis, () -> reducer.connected(now, id)); // some come up late
+        serverByConnection.put(id, serverByPort.get(endpoint.getPort()));
+        schedule(id % 3 == 0 ? 230 : connectMillis, () -> reducer.connected(now, id)); // some are established late
     }
 
     @Override
     public void query(long id, Statement statement, long waitMillis) {
-        String server = serverOf.get(id);
-        long told = toldAt.getOrDefault(server, NEVER);
-        sent++;
-        if (leftAt.containsKey(server)) {
-            toLeaving++;
+        String server = serverByConnection.get(id);
+        long notifiedAt = notifiedAtByServer.getOrDefault(server, NEVER);
+        sentCount++;
+        if (drainedAtByServer.containsKey(server)) {
+            sentToLeavingCount++;
         }
-        if (told != NEVER && now > told + grace + SLACK) {
-            late.add(server + " " + (now - told) / MS + " ms after it was told, at " + (now - START) / MS);
+        if (notifiedAt != NEVER && now > notifiedAt + graceNanos + TIME_TOLERANCE_NANOS) {
+            lateSends.add(server + " " + (now - notifiedAt) / NANOS_PER_MILLI + " ms after the notification, at "
+                    + (now - START_TIME) / NANOS_PER_MILLI);
         }
         reducer.written(id);
-        if (sent % 9 != 0 || server.equals("p")) { // some reads hang, and get a second copy
-            after(
+        if (sentCount % 9 != 0 || server.equals("p")) { // some reads hang and get a second copy
+            schedule(
                     8,
                     () -> reducer.answered(
                             now,
@@ -363,7 +373,7 @@
                             new ServerAnswer(
                                     Result.OK,
                                     server.equals("p") ? Role.PRIMARY : Role.REPLICA,
-                                    now / MS,
+                                    now / NANOS_PER_MILLI,
                                     null,
                                     new byte[1]),
                             true));
@@ -372,7 +382,7 @@
 
     @Override
     public void probe(long id) {
-        after(
+        schedule(
                 2,
                 () -> reducer.answered(
                         now, id, new ServerAnswer(Result.OK, Role.UNKNOWN, -1, null, new byte[1]), true));
@@ -380,20 +390,20 @@
 
     @Override
     public void close(long id) {
-        serverOf.put(id, "closed");
+        serverByConnection.put(id, "closed");
     }
 
     @Override
-    public void watch(boolean on) {
-        after(0, () -> client.follow(now, on));
+    public void watch(boolean enabled) {
+        schedule(0, () -> client.follow(now, enabled));
     }
 
-    // ---- What the tests play ----
+    // Steps of the tests
 
-    /** A harness as it is before anything was played. */
-    abstract DrainNotificationHarness fresh();
+    /** Creates a harness in its initial state. */
+    abstract DrainNotificationHarness newHarness();
 
-    static final String SITES = """
+    static final String DISCOVERY_AND_GRACE_MILLIS = """
       asked,250
       asked,500
       asked,1000
@@ -404,72 +414,78 @@
       pushed,2000
       """;
 
-    void keeps() {
-        pass(3_000);
-        assertEquals(List.of(), late, discovery());
+    void assertNoLateSends() {
+        advance(3_000);
+        assertEquals(List.of(), lateSends, describeSetup());
         assertEquals(Map.of(), reducer.brokenInvariants());
-        leftAt.keySet().forEach(uid -> assertTrue(toldAt.get(uid) + grace < now, "the time played shows " + uid));
-        assertTrue(sent > 100, "requests were sent all the time");
+        drainedAtByServer
+                .keySet()
+                .forEach(uid -> assertTrue(
+                        notifiedAtByServer.get(uid) + graceNanos < now,
+                        "the run is too short to show the grace of " + uid));
+        assertTrue(sentCount > 100, "requests were sent all the time");
     }
 
-    String discovery() {
-        return (asked ? "asked" : "pushed") + ", grace " + grace / MS + " ms";
+    String describeSetup() {
+        return (isListOnRequest ? "asked" : "pushed") + ", grace " + graceNanos / NANOS_PER_MILLI + " ms";
     }
 
-    interface Scene<T> {
-        void play(DrainNotificationHarness one, T with) throws Exception;
+    interface Steps<T> {
+        void run(DrainNotificationHarness harness, T value) throws Exception;
     }
 
-    /** Plays a scene anew with each of some values; all of them must keep the rule. */
-    <T> void each(String discovery, long graceMillis, Iterable<T> values, Scene<T> scene) throws Exception {
+    /** Runs the steps with each of the values, each time with a new harness, and checks the rule. */
+    <T> void runWithEach(String discovery, long graceMillis, Iterable<T> values, Steps<T> steps) throws Exception {
         for (T value : values) {
-            DrainNotificationHarness one = fresh();
-            one.start(discovery, graceMillis);
-            scene.play(one, value);
-            one.keeps();
+            DrainNotificationHarness harness = newHarness();
+            harness.startRouter(discovery, graceMillis);
+            steps.run(harness, value);
+            harness.assertNoLateSends();
         }
     }
 
-    static List<Integer> steps(int to, int step) {
-        return IntStream.range(0, (to + step - 1) / step)
+    static List<Integer> range(int end, int step) {
+        return IntStream.range(0, (end + step - 1) / step)
                 .mapToObj(i -> i * step)
                 .toList();
     }
 
-    void drainAll() {
-        drain("r1");
-        drain("p");
+    void drainBothServers() {
+        drainServer("r1");
+        drainServer("p");
     }
 
-    /** The first watch falls silent, and servers drain behind it. */
-    void drainBehindSilence(long after) {
-        pass(503);
-        fallSilent();
-        pass(after);
-        drainAll();
+    /** Makes the first watch fall silent, then drains both servers. */
+    void drainAfterWatchFellSilent(long delayMillis) {
+        advance(503);
+        silenceWatch();
+        advance(delayMillis);
+        drainBothServers();
     }
 
-    /** A change whose news is lost: it counts 6 s later. */
-    void drainUnheard() {
-        pass(1_003);
-        parkedFrom = -1;
+    /** Drains both servers and loses the notification, so that the change counts as notified 6 s later. */
+    void drainWithLostNotification() {
+        advance(1_003);
+        heldCallVersion = -1;
         version++;
         for (String uid : List.of("r1", "p")) {
-            leftAt.put(uid, now);
-            toldAt.put(uid, now + 6_000 * MS);
+            drainedAtByServer.put(uid, now);
+            notifiedAtByServer.put(uid, now + 6_000 * NANOS_PER_MILLI);
         }
     }
 
-    /** So many calls from now on reach nobody: neither an answer nor the end of the connection comes. */
+    /** Loses the given number of calls: neither an answer nor the end of the connection follows. */
     void loseCalls(int calls) {
-        lostCalls = calls;
+        callsToLose = calls;
     }
 
-    /** The configuration names another discovery and SIGHUP is sent: what that one has counts 4 s later. */
-    void move() {
-        parkedFrom = -1;
-        silent = false;
-        leftAt.keySet().forEach(uid -> toldAt.merge(uid, now + AFTER_MOVE, Math::min));
+    /** Moves to another discovery by configuration and SIGHUP: its changes count as notified 4 s later. */
+    void moveDiscovery() {
+        heldCallVersion = -1;
+        isSilent = false;
+        drainedAtByServer
+                .keySet()
+                .forEach(uid -> notifiedAtByServer.merge(uid, now + NOTIFIED_AFTER_MOVE_NANOS, Math::min));
         client.move(now, "elsewhere");
         reducer.listMoved(now);
     }
--- a/router/src/test/java/stoatrill/core/EndingTest.java
+++ b/router/src/test/java/stoatrill/core/EndingTest.java
@@ -12,22 +12,22 @@
 import stoatrill.discovery.ServerList;
 import stoatrill.scenario.Scenario;
 
-/** The end of a router with requests under way: each is failed, and the module is told, so that it begins no more. */
+/** At shutdown, each open request is failed and the module is notified, so that it begins no further attempts. */
 class EndingTest {
-    private static final long MILLI = 1_000_000L;
-    private static final long START = 1_767_225_600_000L * MILLI;
-    private static final int REQUESTS = 5;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long START_TIME = 1_767_225_600_000L * NANOS_PER_MILLI;
+    private static final int REQUEST_COUNT = 5;
 
     private final List<Answer> answers = new ArrayList<>();
-    private final List<Long> held = new ArrayList<>();
+    private final List<Long> openRequests = new ArrayList<>();
 
-    /** Decisions that hold every request until it is over. */
-    private Gateway.Events holdsAll() {
+    /** A decision module that never answers a request and tracks which ones are open. */
+    private Gateway.Events createModuleWithoutAnswers() {
         return (Gateway.Events) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {Gateway.Events.class}, (self, method, arguments) -> {
                     switch (method.getName()) {
-                        case "request" -> held.add((Long) arguments[1]);
-                        case "left" -> held.remove((Long) arguments[1]);
+                        case "request" -> openRequests.add((Long) arguments[1]);
+                        case "left" -> openRequests.remove((Long) arguments[1]);
                         default -> {}
                     }
                     return null;
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void theModuleIsToldOfRequestsThatAreFailedAtTheEnd() throws Exception {
+    void notifiesTheModuleOfRequestsFailedAtShutdown() throws Exception {
         Config config = Config.parse(Scenario.config(), Map.of());
         Reducer reducer = new Reducer(
                 new QuietEffects() {
@@ -47,7 +47,7 @@
                         answers.add(answer);
                     }
                 },
-                new Clocks(START, 0),
+                new Clocks(START_TIME, 0),
                 new Deadlines(),
                 new Reducer.Setup(
                         config.settings(),
@@ -58,19 +58,21 @@
                         config.mostHeld(),
                         100,
                         config.seed()),
-                gateway -> holdsAll());
+                gateway -> createModuleWithoutAnswers());
         reducer.members(
-                START, Gateway.ListKind.CACHED, ServerList.parse(config.known()).entries());
-        for (int slot = 0; slot < REQUESTS; slot++) {
+                START_TIME,
+                Gateway.ListKind.CACHED,
+                ServerList.parse(config.known()).entries());
+        for (int slot = 0; slot < REQUEST_COUNT; slot++) {
             reducer.request(
-                    START,
+                    START_TIME,
                     1,
                     slot,
                     new ClientRequest("q" + slot, "archive", "k", 0, 4_000, 0, false, false, wait -> new byte[1]));
         }
-        assertEquals(REQUESTS, held.size());
-        reducer.failAll(START + MILLI);
-        assertEquals(REQUESTS, answers.size());
-        assertEquals(List.of(), held);
+        assertEquals(REQUEST_COUNT, openRequests.size());
+        reducer.failAll(START_TIME + NANOS_PER_MILLI);
+        assertEquals(REQUEST_COUNT, answers.size());
+        assertEquals(List.of(), openRequests);
     }
 }
