--- a/router/src/test/java/stoatrill/core/LostDiscoveryCallTest.java
+++ b/router/src/test/java/stoatrill/core/LostDiscoveryCallTest.java
@@ -5,86 +5,87 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A failure, a reset or a move of discovery whose next call is lost as well, or waits in discovery's queue for
- * nearly as long as it may: a leaving server still gets nothing once the grace is over.
+ * Checks that a draining server receives no query after its grace if, after a failure, a reset or a move of discovery,
+ * the next call is lost as well or waits in discovery's queue for nearly the longest possible time.
  */
 class LostDiscoveryCallTest extends DrainNotificationHarness {
-    /** Just under the 2 s after which discovery fails a call that waits. */
-    private static final long LONGEST_QUEUE = 1_900;
+    /** Just below the 2 s after which discovery fails a queued call. */
+    private static final long MAX_QUEUE_MILLIS = 1_900;
 
     @Override
-    DrainNotificationHarness fresh() {
+    DrainNotificationHarness newHarness() {
         return new LostDiscoveryCallTest();
     }
 
     @ParameterizedTest
-    @CsvSource(textBlock = SITES)
-    void afterAMoveWhoseCallWaitsInTheQueue(String discovery, long graceMillis) throws Exception {
-        each(discovery, graceMillis, steps(5_000, 490), (one, moment) -> {
-            one.pass(503 + moment);
-            one.drainAll();
-            one.queue = one.asked ? LONGEST_QUEUE : 1;
-            one.move();
-            one.pass(14_000);
+    @CsvSource(textBlock = DISCOVERY_AND_GRACE_MILLIS)
+    void keepsGraceWhenTheCallAfterAMoveIsQueued(String discovery, long graceMillis) throws Exception {
+        runWithEach(discovery, graceMillis, range(5_000, 490), (harness, moment) -> {
+            harness.advance(503 + moment);
+            harness.drainBothServers();
+            harness.queueMillis = harness.isListOnRequest ? MAX_QUEUE_MILLIS : 1;
+            harness.moveDiscovery();
+            harness.advance(14_000);
         });
     }
 
     @ParameterizedTest
-    @CsvSource(textBlock = SITES)
-    void afterAMoveWhoseFirstCallIsLost(String discovery, long graceMillis) throws Exception {
-        each(discovery, graceMillis, steps(5_000, 490), (one, moment) -> {
-            one.pass(503 + moment);
-            one.drainUnheard();
-            one.loseCalls(1);
-            one.move();
-            one.pass(14_000);
+    @CsvSource(textBlock = DISCOVERY_AND_GRACE_MILLIS)
+    void keepsGraceWhenTheFirstCallAfterAMoveIsLost(String discovery, long graceMillis) throws Exception {
+        runWithEach(discovery, graceMillis, range(5_000, 490), (harness, moment) -> {
+            harness.advance(503 + moment);
+            harness.drainWithLostNotification();
+            harness.loseCalls(1);
+            harness.moveDiscovery();
+            harness.advance(14_000);
         });
     }
 
     @ParameterizedTest
     @CsvSource(textBlock = "asked,250\nasked,500\nasked,1000\nasked,2000")
-    void afterAMoveWhoseFirstCallIsLostAndWhoseNextWaitsInTheQueue(String discovery, long graceMillis)
+    void keepsGraceWhenTheFirstCallAfterAMoveIsLostAndTheNextIsQueued(String discovery, long graceMillis)
             throws Exception {
-        each(discovery, graceMillis, steps(5_000, 490), (one, moment) -> {
-            one.pass(503 + moment);
-            one.drainUnheard();
-            one.loseCalls(1);
-            one.queue = LONGEST_QUEUE;
-            one.move();
-            one.pass(14_000);
+        runWithEach(discovery, graceMillis, range(5_000, 490), (harness, moment) -> {
+            harness.advance(503 + moment);
+            harness.drainWithLostNotification();
+            harness.loseCalls(1);
+            harness.queueMillis = MAX_QUEUE_MILLIS;
+            harness.moveDiscovery();
+            harness.advance(14_000);
         });
     }
 
     @ParameterizedTest
-    @CsvSource(textBlock = SITES)
-    void afterAResetWhoseNextCallIsLost(String discovery, long graceMillis) throws Exception {
-        each(discovery, graceMillis, steps(1_000, 90), (one, moment) -> {
-            one.pass(4_003);
-            one.loseCalls(1);
-            one.reset();
-            one.pass(moment);
-            one.drainAll();
-            one.pass(14_000);
+    @CsvSource(textBlock = DISCOVERY_AND_GRACE_MILLIS)
+    void keepsGraceWhenTheNextCallAfterAResetIsLost(String discovery, long graceMillis) throws Exception {
+        runWithEach(discovery, graceMillis, range(1_000, 90), (harness, moment) -> {
+            harness.advance(4_003);
+            harness.loseCalls(1);
+            harness.resetConnection();
+            harness.advance(moment);
+            harness.drainBothServers();
+            harness.advance(14_000);
         });
     }
 
     @ParameterizedTest
     @CsvSource(textBlock = "asked,250\nasked,500\nasked,1000\nasked,2000")
-    void onceDiscoveryIsBackAndTheFirstCallIsLostAndTheNextWaits(String discovery, long graceMillis) throws Exception {
-        for (String how : List.of("refuses", "resets", "says half", "queues", "says nothing")) {
-            each(discovery, graceMillis, List.of(1_000, 5_000, 8_300, 30_000), (one, away) -> {
-                one.meets = how;
-                one.pass(1_003);
-                one.down(true);
-                one.pass(away);
-                one.queue = LONGEST_QUEUE;
-                // A call that is out to a silent discovery when it returns is itself the one that is lost.
-                one.loseCalls(how.equals("says nothing") ? 0 : 1);
-                one.drain("r1");
-                one.down(false);
-                one.pass(300);
-                one.drain("p");
-                one.pass(14_000);
+    void keepsGraceWhenTheFirstCallAfterAnOutageIsLostAndTheNextIsQueued(String discovery, long graceMillis)
+            throws Exception {
+        for (String mode : List.of("refuses", "resets", "says half", "queues", "says nothing")) {
+            runWithEach(discovery, graceMillis, List.of(1_000, 5_000, 8_300, 30_000), (harness, outageMillis) -> {
+                harness.failureMode = mode;
+                harness.advance(1_003);
+                harness.setDown(true);
+                harness.advance(outageMillis);
+                harness.queueMillis = MAX_QUEUE_MILLIS;
+                // If discovery was silent, the call that is pending when it returns is already the lost one.
+                harness.loseCalls(mode.equals("says nothing") ? 0 : 1);
+                harness.drainServer("r1");
+                harness.setDown(false);
+                harness.advance(300);
+                harness.drainServer("p");
+                harness.advance(14_000);
             });
         }
     }
--- a/router/src/test/java/stoatrill/core/QuietEffects.java
+++ b/router/src/test/java/stoatrill/core/QuietEffects.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** Effects of a reducer that do nothing; a test overrides those that it looks at. */
+/** Reducer effects that do nothing; a test overrides those that it checks. */
 public abstract class QuietEffects implements Effects {
     @Override
     public void open(long connection, InetSocketAddress endpoint) {}
@@ -25,7 +25,7 @@
     public void answer(long client, long slot, Answer answer) {}
 
     @Override
-    public void watch(boolean on) {}
+    public void watch(boolean enabled) {}
 
     @Override
     public void fetch() {}
--- a/router/src/test/java/stoatrill/core/ReducerScenarioTest.java
+++ b/router/src/test/java/stoatrill/core/ReducerScenarioTest.java
@@ -19,53 +19,53 @@
 import stoatrill.scenario.Scenario;
 
 /**
- * The reducer with fake time. A client sends {@code CLASS NAME WAIT}; a server sends {@code up},
- * {@code taken} (the last byte is written), outcomes, {@code noise} (unasked, found before reuse) and
- * {@code spoilt}, and expects what is asked of its connections.
+ * Runs the reducer on fake time with scripted clients and servers. A client sends {@code CLASS NAME WAIT}. A server
+ * sends {@code up}, {@code taken} (the last byte is written), outcomes, {@code noise} (unsolicited data, found before
+ * reuse) and {@code spoilt} (malformed data), and expects the effects on its connections.
  */
 class ReducerScenarioTest implements Scenario.Stage, Effects {
-    private static final long MS = 1_000_000L;
-    private static final long START = 1_700_000_000_000L * MS;
-    private static final String READ_AT_R1 = """
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long START_TIME = 1_700_000_000_000L * NANOS_PER_MILLI;
+    private static final String READ_SENT_TO_R1 = """
       c send archive a 500
       r1 expect open
       r1 send up
       r1 expect query a 500
       """;
-    private static final String UPLOAD_AT_P = """
+    private static final String UPLOAD_SENT_TO_P = """
       c send upload u 1000
       p expect open
       p send up
       p expect query u 1000
       """;
-    private final Map<String, ArrayDeque<String>> seen = new HashMap<>();
-    private final Map<Integer, String> byPort = new HashMap<>();
-    private final Map<Long, String> serverOf = new HashMap<>();
-    private final Map<String, Long> connectionOf = new HashMap<>();
-    private final Map<Long, String> names = new HashMap<>();
-    private long now = START;
-    private final java.util.Set<Long> noisy = new java.util.HashSet<>();
-    private long slots;
+    private final Map<String, ArrayDeque<String>> eventsByActor = new HashMap<>();
+    private final Map<Integer, String> serverByPort = new HashMap<>();
+    private final Map<Long, String> serverByConnection = new HashMap<>();
+    private final Map<String, Long> latestConnectionByServer = new HashMap<>();
+    private final Map<Long, String> requestNameBySlot = new HashMap<>();
+    private long now = START_TIME;
+    private final java.util.Set<Long> connectionsWithUnreadData = new java.util.HashSet<>();
+    private long nextSlot;
     private Reducer reducer;
 
-    private void play(String steps) throws Exception {
-        play(40, steps);
+    private void play(String script) throws Exception {
+        play(40, script);
     }
 
-    private void play(int connections, String steps) throws Exception {
-        play(connections, Scenario.config(), steps);
+    private void play(int maxServerConnections, String script) throws Exception {
+        play(maxServerConnections, Scenario.config(), script);
     }
 
-    private void play(int connections, String text, String steps) throws Exception {
+    private void play(int maxServerConnections, String configText, String script) throws Exception {
         int port = 1;
-        while (text.contains("127.0.0.1:9\", \"az\"")) {
-            byPort.put(port, List.of("", "r1", "r2", "p").get(port));
-            text = text.replaceFirst("127.0.0.1:9\", \"az\"", "127.0.0.1:" + port++ + "\", \"az\"");
+        while (configText.contains("127.0.0.1:9\", \"az\"")) {
+            serverByPort.put(port, List.of("", "r1", "r2", "p").get(port));
+            configText = configText.replaceFirst("127.0.0.1:9\", \"az\"", "127.0.0.1:" + port++ + "\", \"az\"");
         }
-        Config config = Config.parse(text, Map.of());
+        Config config = Config.parse(configText, Map.of());
         reducer = new Reducer(
                 this,
-                new Clocks(START, START),
+                new Clocks(START_TIME, START_TIME),
                 new Deadlines(),
                 new Reducer.Setup(
                         config.settings(),
@@ -74,20 +74,20 @@
                         config.connectTimeout(),
                         config.connIdle(),
                         config.mostHeld(),
-                        connections,
+                        maxServerConnections,
                         config.seed()));
         reducer.members(now, ListKind.CACHED, ServerList.parse(config.known()).entries());
-        Scenario.play(this, steps);
+        Scenario.play(this, script);
     }
 
     @AfterEach
-    void nothingBroken() {
+    void assertNoInvariantIsBroken() {
         assertEquals(Map.of(), reducer.brokenInvariants());
     }
 
     @Test
-    void aReadIsServedByTheLocalReplicaAndItsConnectionUsedAgain() throws Exception {
-        play(READ_AT_R1 + """
+    void servesAReadFromTheLocalReplicaAndReusesItsConnection() throws Exception {
+        play(READ_SENT_TO_R1 + """
         r1 send taken
         wait 20
         r1 send ok
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aSecondRequestAtOnceGetsAConnectionOfItsOwn() throws Exception {
+    void opensAConnectionForEachConcurrentRequest() throws Exception {
         play("""
         c send archive a 500
         c send archive b 500
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void theWaitPassedOnIsWhatIsLeftWhenTheConnectionIsUp() throws Exception {
+    void announcesTheWaitThatIsLeftWhenTheConnectionIsEstablished() throws Exception {
         play("""
         c send upload u 1000
         p expect open
@@ -120,8 +120,8 @@
     }
 
     @Test
-    void whatComesInTheTurnInWhichTheRouterEndsIsRefusedAtOnceAndSentNowhere() throws Exception {
-        play(READ_AT_R1 + """
+    void refusesRequestsThatArriveDuringShutdown() throws Exception {
+        play(READ_SENT_TO_R1 + """
         r1 send taken
         router send the end
         c expect a failed
@@ -136,8 +136,8 @@
     }
 
     @Test
-    void anUploadThatNeverLeftGoesAgain() throws Exception {
-        play(UPLOAD_AT_P + """
+    void retriesAnUploadThatWasNeverWritten() throws Exception {
+        play(UPLOAD_SENT_TO_P + """
         p close
         p expect open
         p send up
@@ -146,8 +146,8 @@
     }
 
     @Test
-    void anUploadThatMayHaveRunFailsAndNeverGoesAgain() throws Exception {
-        play(UPLOAD_AT_P + """
+    void failsAnUploadThatMayHaveRunWithoutARetry() throws Exception {
+        play(UPLOAD_SENT_TO_P + """
         p send taken
         p close
         c expect u failed
@@ -156,8 +156,8 @@
     }
 
     @Test
-    void anUploadTurnedAwayAsAMissGoesAgain() throws Exception {
-        play(UPLOAD_AT_P + """
+    void keepsAnUploadOpenAfterAMiss() throws Exception {
+        play(UPLOAD_SENT_TO_P + """
         p send taken
         p send miss
         wait 60
@@ -166,8 +166,8 @@
     }
 
     @Test
-    void aReadLostWithItsConnectionIsTriedElsewhere() throws Exception {
-        play(READ_AT_R1 + """
+    void retriesAReadElsewhereAfterItsConnectionIsLost() throws Exception {
+        play(READ_SENT_TO_R1 + """
         r1 send taken
         r1 close
         r2 expect open
@@ -180,12 +180,12 @@
     }
 
     @Test
-    void aSpoiltReadIsTriedElsewhereAndASpoiltUploadFails() throws Exception {
-        play(READ_AT_R1 + """
+    void retriesAReadAndFailsAnUploadAfterAMalformedAnswer() throws Exception {
+        play(READ_SENT_TO_R1 + """
         r1 send taken
         r1 send spoilt
         r2 expect open
-        """ + UPLOAD_AT_P + """
+        """ + UPLOAD_SENT_TO_P + """
         p send taken
         p send spoilt
         c expect u failed
@@ -194,8 +194,8 @@
     }
 
     @Test
-    void aConnectionOnWhichSomethingCameUnaskedIsNotUsedAgain() throws Exception {
-        play(READ_AT_R1 + """
+    void doesNotReuseAConnectionWithUnsolicitedData() throws Exception {
+        play(READ_SENT_TO_R1 + """
         r1 send ok
         c expect a served
         r1 send noise
@@ -206,8 +206,8 @@
     }
 
     @Test
-    void anUploadTakesNoConnectionThatHasJustAnsweredAndOneThatWaitsTakesItOnceSettled() throws Exception {
-        play(UPLOAD_AT_P + """
+    void sendsAnUploadOnlyOnASettledConnection() throws Exception {
+        play(UPLOAD_SENT_TO_P + """
         p send ok
         c expect u served
         c send upload v 1000
@@ -230,8 +230,8 @@
     }
 
     @Test
-    void aPositionStillToComeIsNotBelieved() throws Exception {
-        play(READ_AT_R1 + """
+    void ignoresAPositionInTheFuture() throws Exception {
+        play(READ_SENT_TO_R1 + """
         r1 send future
         c expect a served
         wait 400
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void aServerThatNeverComesUpIsGivenUpAtTheConnectTimeOut() throws Exception {
+    void triesAnotherServerAfterTheConnectTimeout() throws Exception {
         play("""
         c send archive a 500
         r1 expect open
@@ -253,7 +253,7 @@
     }
 
     @Test
-    void aRequestNobodyAnswersIsRefusedBeforeItsDeadlineAndItsAttemptAbandoned() throws Exception {
+    void refusesAnUnansweredRequestAndAbandonsItsAttempt() throws Exception {
         play("""
         c send archive a 100
         r1 expect open
@@ -268,8 +268,8 @@
     }
 
     @Test
-    void whenTheClientLeavesItsAttemptIsAbandonedAndNothingAnswered() throws Exception {
-        play(READ_AT_R1 + """
+    void abandonsTheAttemptWhenTheClientDisconnects() throws Exception {
+        play(READ_SENT_TO_R1 + """
         c close
         r1 expect close
         c expect nothing
@@ -277,7 +277,7 @@
     }
 
     @Test
-    void anAttemptThatWaitsForItsConnectionNeverBeginsOnceItsClientHasLeftOrItsTimeIsOver() throws Exception {
+    void doesNotSendADelayedAttemptAfterTheClientLeftOrTheDeadline() throws Exception {
         String noCancel = Scenario.config().replace("\"cancel\": true", "\"cancel\": false");
         play(40, noCancel, """
         c send archive a 500
@@ -299,10 +299,10 @@
     }
 
     @Test
-    void aRepeatThatWaitsForItsConnectionIsNotWrittenAfterTheWindowForRepeats() throws Exception {
+    void doesNotSendADelayedRepeatAfterTheRepeatWindow() throws Exception {
         String keyed = Scenario.config()
                 .replace("\"side_effect\"", "\"token\", \"group\": \"all\", \"repeatWindow\": 200000000");
-        String repeat = UPLOAD_AT_P + """
+        String repeat = UPLOAD_SENT_TO_P + """
         p send taken
         p close
         p expect open
@@ -314,8 +314,8 @@
     }
 
     @Test
-    void aRequestTakenBackEndsAtOnceAndAnUploadThatMayHaveRunNeverGoesAgain() throws Exception {
-        play(UPLOAD_AT_P + """
+    void endsACancelledRequestAtOnceAndNeverRetriesIt() throws Exception {
+        play(UPLOAD_SENT_TO_P + """
         p send taken
         c send archive a 500
         r1 expect open
@@ -333,8 +333,8 @@
     }
 
     @Test
-    void aConnectionAtRestIsClosedBeforeTheServerMay() throws Exception {
-        play(READ_AT_R1 + """
+    void closesAnIdleConnectionBeforeTheServerDoes() throws Exception {
+        play(READ_SENT_TO_R1 + """
         r1 send ok
         wait 20000
         r1 expect nothing
@@ -344,7 +344,7 @@
     }
 
     @Test
-    void aBoundedReadIsNotWrittenOnceWhatIsKnownOfItsServerIsTooOld() throws Exception {
+    void doesNotSendABoundedReadToAServerWhoseKnownPositionIsTooOld() throws Exception {
         play("""
         c send archive a 900
         r1 expect open
@@ -363,8 +363,8 @@
     }
 
     @Test
-    void anIdleConnectionElsewhereMakesRoomForANewOne() throws Exception {
-        play(1, READ_AT_R1 + """
+    void closesAnIdleConnectionElsewhereToOpenANewOne() throws Exception {
+        play(1, READ_SENT_TO_R1 + """
         r1 send ok
         c expect a served
         c send upload u 1000
@@ -373,10 +373,10 @@
         """);
     }
 
-    /** Closing a warm connection for each new one costs servers a handshake and requests the time of it. */
+    /** Closing an idle connection for each new one would cost servers a handshake and requests its duration. */
     @Test
-    void aWarmConnectionStaysWhereClientsLeaveRoomForItAndGoesWhenTheyNeedIt() throws Exception {
-        play(1, READ_AT_R1 + """
+    void keepsAnIdleConnectionWithinTheLimitAndClosesItBeyond() throws Exception {
+        play(1, READ_SENT_TO_R1 + """
         r1 send ok
         c expect a served
         """);
@@ -397,8 +397,8 @@
     }
 
     @Test
-    void aWaitingRequestGetsTheRoomThatAnEndedConnectionLeaves() throws Exception {
-        play(1, READ_AT_R1 + """
+    void opensADeferredConnectionWhenAnotherEnds() throws Exception {
+        play(1, READ_SENT_TO_R1 + """
         c send upload u 1000
         p expect nothing
         r1 close
@@ -407,7 +407,7 @@
     }
 
     @Test
-    void whatIsNoRequestIsSaidAtOnce() throws Exception {
+    void rejectsInvalidRequestsAtOnce() throws Exception {
         play("""
         c send nosuch a 500
         c expect a invalid
@@ -427,14 +427,14 @@
     }
 
     @Test
-    void nothingIsKeptOfServersThatAreGoneNorOfRequestsThatAreOver() throws Exception {
-        play(READ_AT_R1 + "r1 send ok\nc expect a served\n");
-        List<Integer> before = reducer.held();
+    void keepsNoStateOfGoneServersAndFinishedRequests() throws Exception {
+        play(READ_SENT_TO_R1 + "r1 send ok\nc expect a served\n");
+        List<Integer> before = reducer.heldEntryCounts();
         for (int i = 0; i < 50; i++) {
-            list(true, "n" + i, "Ready");
-            list(false, "n" + i, i % 2 == 0 ? "Gone" : "Terminating");
+            updateServerList(true, "n" + i, "Ready");
+            updateServerList(false, "n" + i, i % 2 == 0 ? "Gone" : "Terminating");
         }
-        list(true, "r1", "Ready");
+        updateServerList(true, "r1", "Ready");
         Scenario.play(this, """
         r1 expect nothing
         c send archive b 500
@@ -442,15 +442,15 @@
         r1 send ok
         c expect b served
         """);
-        list(true, "r1", "Ready");
-        assertEquals(List.of(2, 0, 0), reducer.held());
+        updateServerList(true, "r1", "Ready");
+        assertEquals(List.of(2, 0, 0), reducer.heldEntryCounts());
         assertEquals(List.of(6, 0, 0), before);
     }
 
-    private void list(boolean all, String uid, String state) throws Exception {
+    private void updateServerList(boolean isFullList, String uid, String state) throws Exception {
         reducer.members(
                 now,
-                all ? ListKind.FULL : ListKind.DELTA,
+                isFullList ? ListKind.FULL : ListKind.DELTA,
                 ServerList.parse("{'rev':9,'targets':[{'uid':'" + uid
                                 + "','endpoint':'127.0.0.1:1','az':'north','model':'m','pod_group':0,'state':'" + state
                                 + "'}]}")
@@ -458,7 +458,7 @@
     }
 
     @Test
-    void tooManyHeldAreRefused() throws Exception {
+    void refusesRequestsBeyondTheLimit() throws Exception {
         StringBuilder steps = new StringBuilder();
         for (int i = 0; i < 5; i++) {
             steps.append("c send upload u").append(i).append(" 1000\n");
@@ -466,22 +466,22 @@
         play(steps + "c send archive a 500\nc expect a refused\n");
     }
 
-    // ---- The stage ----
+    // Stage of the script
 
     @Override
     public void send(String actor, String text) {
         String[] words = text.split(" ", 0);
         if (actor.equals("c")) {
             boolean writes = words[0].equals("upload");
-            String kind = words[0].split("/", 0)[0];
-            names.put(slots, words[1]);
+            String className = words[0].split("/", 0)[0];
+            requestNameBySlot.put(nextSlot, words[1]);
             reducer.request(
                     now,
                     1,
-                    slots++,
+                    nextSlot++,
                     new ClientRequest(
                             words[1],
-                            kind,
+                            className,
                             "k",
                             words.length > 3 ? 7 : 0,
                             Long.parseLong(words[2]),
@@ -493,18 +493,19 @@
         }
         if (actor.equals("router")) {
             switch (words[0]) {
-                case "stall" -> now += Long.parseLong(words[1]) * MS; // the loop is late: no deadline is swept
+                case "stall" ->
+                    now += Long.parseLong(words[1]) * NANOS_PER_MILLI; // the event loop is late: no deadline is swept
                 case "take" -> reducer.cancelled(now, 1, Long.parseLong(words[2]));
                 default -> reducer.failAll(now);
             }
             return;
         }
-        long connection = connectionOf.get(actor);
-        if (words[0].equals("first")) { // the first that was opened, not the newest
-            connectionOf.put(
+        long connection = latestConnectionByServer.get(actor);
+        if (words[0].equals("first")) { // the connection opened first, not the latest
+            latestConnectionByServer.put(
                     actor,
-                    serverOf.keySet().stream()
-                            .filter(c -> serverOf.get(c).equals(actor))
+                    serverByConnection.keySet().stream()
+                            .filter(c -> serverByConnection.get(c).equals(actor))
                             .sorted()
                             .findFirst()
                             .get());
@@ -515,11 +516,14 @@
         switch (words[0]) {
             case "up" -> reducer.connected(now, connection);
             case "taken" -> reducer.written(connection);
-            case "noise" -> noisy.add(connection);
+            case "noise" -> connectionsWithUnreadData.add(connection);
             case "spoilt" -> reducer.broken(now, connection, Break.SPOILT);
             case "future" ->
                 reducer.answered(
-                        now, connection, new ServerAnswer(Result.OK, role, now / MS + 60_000, null, new byte[1]), true);
+                        now,
+                        connection,
+                        new ServerAnswer(Result.OK, role, now / NANOS_PER_MILLI + 60_000, null, new byte[1]),
+                        true);
             default ->
                 reducer.answered(
                         now,
@@ -527,7 +531,7 @@
                         new ServerAnswer(
                                 Result.valueOf(words[0].toUpperCase(java.util.Locale.ROOT)),
                                 role,
-                                now / MS,
+                                now / NANOS_PER_MILLI,
                                 null,
                                 new byte[1]),
                         true);
@@ -536,8 +540,8 @@
 
     @Override
     public void expect(String actor, String text) {
-        ArrayDeque<String> of = seen.getOrDefault(actor, new ArrayDeque<>());
-        assertEquals(text, of.isEmpty() ? "nothing" : of.poll());
+        ArrayDeque<String> events = eventsByActor.getOrDefault(actor, new ArrayDeque<>());
+        assertEquals(text, events.isEmpty() ? "nothing" : events.poll());
     }
 
     @Override
@@ -545,65 +549,70 @@
         if (actor.equals("c")) {
             reducer.clientGone(now, 1);
         } else {
-            reducer.broken(now, connectionOf.get(actor), Break.ENDED);
+            reducer.broken(now, latestConnectionByServer.get(actor), Break.ENDED);
         }
     }
 
     @Override
     public void pass(long millis) {
-        for (long end = now + millis * MS; now < end; now += MS) {
+        for (long end = now + millis * NANOS_PER_MILLI; now < end; now += NANOS_PER_MILLI) {
             reducer.tick(now);
         }
         reducer.tick(now);
     }
 
-    private void saw(String actor, String what) {
-        seen.computeIfAbsent(actor, a -> new ArrayDeque<>()).add(what);
+    private void recordEvent(String actor, String event) {
+        eventsByActor.computeIfAbsent(actor, a -> new ArrayDeque<>()).add(event);
     }
 
     @Override
     public void open(long connection, InetSocketAddress endpoint) {
-        String server = byPort.get(endpoint.getPort());
-        serverOf.put(connection, server);
-        connectionOf.put(server, connection);
-        saw(server, "open");
+        String server = serverByPort.get(endpoint.getPort());
+        serverByConnection.put(connection, server);
+        latestConnectionByServer.put(server, connection);
+        recordEvent(server, "open");
     }
 
     @Override
     public void query(long connection, Statement statement, long waitMillis) {
-        connectionOf.put(serverOf.get(connection), connection);
-        saw(serverOf.get(connection), "query " + new String(statement.withWait(waitMillis), StandardCharsets.UTF_8));
+        latestConnectionByServer.put(serverByConnection.get(connection), connection);
+        recordEvent(
+                serverByConnection.get(connection),
+                "query " + new String(statement.withWait(waitMillis), StandardCharsets.UTF_8));
     }
 
     @Override
     public boolean quiet(long connection) {
-        return !noisy.contains(connection);
+        return !connectionsWithUnreadData.contains(connection);
     }
 
     @Override
     public void probe(long connection) {
-        saw(serverOf.get(connection), "probe");
+        recordEvent(serverByConnection.get(connection), "probe");
     }
 
     @Override
     public void close(long connection) {
-        saw(serverOf.get(connection), "close");
+        recordEvent(serverByConnection.get(connection), "close");
     }
 
     @Override
     public void answer(long client, long slot, Answer answer) {
-        assertTrue(names.containsKey(slot));
-        saw("c", names.get(slot) + " " + answer.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
+        assertTrue(requestNameBySlot.containsKey(slot));
+        recordEvent(
+                "c",
+                requestNameBySlot.get(slot) + " "
+                        + answer.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
     }
 
     @Override
-    public void watch(boolean on) {
-        saw("list", "watch " + on);
+    public void watch(boolean enabled) {
+        recordEvent("list", "watch " + enabled);
     }
 
     @Override
     public void fetch() {
-        saw("list", "fetch");
+        recordEvent("list", "fetch");
     }
 
     @Override
--- a/router/src/test/java/stoatrill/core/RequestGateTest.java
+++ b/router/src/test/java/stoatrill/core/RequestGateTest.java
@@ -14,125 +14,128 @@
 import stoatrill.core.RequestGate.Ruling;
 import stoatrill.scenario.Scenario;
 
-/** Each rule of the gate, at the moment before and the moment at which it turns. */
+/** Checks each rule of the request gate just before and at its limit. */
 class RequestGateTest {
-    private static final long MILLI = 1_000_000L;
-    private static final long START = 1_000_000 * MILLI;
-    private static final long DEADLINE = START + 400 * MILLI;
-    private static final long LATER = START + 10 * MILLI;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long START_TIME = 1_000_000 * NANOS_PER_MILLI;
+    private static final long DEADLINE_TIME = START_TIME + 400 * NANOS_PER_MILLI;
+    private static final long SEND_TIME = START_TIME + 10 * NANOS_PER_MILLI;
 
     private Gateway.Settings settings;
     private RequestGate gate;
     private ServerPool.Server replica;
 
     @BeforeEach
-    void set() throws Exception {
+    void setUp() throws Exception {
         settings = Config.parse(Scenario.config(), Map.of()).settings();
         gate = new RequestGate(settings);
         replica = new ServerPool.Server(1, new InetSocketAddress(InetAddress.getLoopbackAddress(), 9));
-        replica.position = START;
+        replica.position = START_TIME;
     }
 
-    private Request request(String kind) {
-        Gateway.RequestClass found = settings.classes().stream()
-                .filter(c -> c.name().equals(kind))
+    private Request newRequest(String className) {
+        Gateway.RequestClass requestClass = settings.classes().stream()
+                .filter(c -> c.name().equals(className))
                 .findFirst()
                 .orElseThrow();
-        ClientRequest asked =
-                new ClientRequest("1", kind, "a", 0, 400, 0, false, kind.equals("upload"), wait -> new byte[0]);
-        return new Request(1, 1, 1, asked, found, DEADLINE);
+        ClientRequest clientRequest = new ClientRequest(
+                "1", className, "a", 0, 400, 0, false, className.equals("upload"), wait -> new byte[0]);
+        return new Request(1, 1, 1, clientRequest, requestClass, DEADLINE_TIME);
     }
 
-    private Attempt attempt(Request request) {
-        Attempt attempt = new Attempt(request, request.attempts.size(), replica, START);
+    private Attempt newAttempt(Request request) {
+        Attempt attempt = new Attempt(request, request.attempts.size(), replica, START_TIME);
         request.attempts.add(attempt);
-        attempt.toldMillis = (DEADLINE - START) / MILLI;
+        attempt.announcedWaitMillis = (DEADLINE_TIME - START_TIME) / NANOS_PER_MILLI;
         return attempt;
     }
 
     @Test
-    void nothingIsBegunOrSentOnceTheRequestIsOverOrItsDeadlineHasPassed() {
-        Attempt attempt = attempt(request("archive"));
-        assertEquals(Ruling.ALLOWED, gate.begin(attempt, DEADLINE - 1));
-        assertEquals(Ruling.DEADLINE_PASSED, gate.begin(attempt, DEADLINE));
-        assertEquals(Ruling.ALLOWED, gate.send(attempt, DEADLINE - 1));
-        assertEquals(Ruling.DEADLINE_PASSED, gate.send(attempt, DEADLINE));
-        attempt.request.over = true;
-        assertEquals(Ruling.REQUEST_OVER, gate.begin(attempt, START));
-        assertEquals(Ruling.REQUEST_OVER, gate.send(attempt, START));
-        assertEquals(Ruling.REQUEST_OVER, gate.sendLate(attempt, START, false));
+    void deniesBeginAndSendAfterTheRequestsEndOrDeadline() {
+        Attempt attempt = newAttempt(newRequest("archive"));
+        assertEquals(Ruling.ALLOWED, gate.checkBegin(attempt, DEADLINE_TIME - 1));
+        assertEquals(Ruling.DEADLINE_PASSED, gate.checkBegin(attempt, DEADLINE_TIME));
+        assertEquals(Ruling.ALLOWED, gate.checkSend(attempt, DEADLINE_TIME - 1));
+        assertEquals(Ruling.DEADLINE_PASSED, gate.checkSend(attempt, DEADLINE_TIME));
+        attempt.request.isOver = true;
+        assertEquals(Ruling.REQUEST_OVER, gate.checkBegin(attempt, START_TIME));
+        assertEquals(Ruling.REQUEST_OVER, gate.checkSend(attempt, START_TIME));
+        assertEquals(Ruling.REQUEST_OVER, gate.checkLateSend(attempt, START_TIME, false));
     }
 
     @Test
-    void noMoreAttemptsAreBegunThanTheSettingsAllow() {
-        Request request = request("archive");
+    void deniesMoreAttemptsThanTheSettingsAllow() {
+        Request request = newRequest("archive");
         for (int n = 0; n < settings.limits().attempts(); n++) {
-            assertEquals(Ruling.ALLOWED, gate.begin(attempt(request), START));
+            assertEquals(Ruling.ALLOWED, gate.checkBegin(newAttempt(request), START_TIME));
         }
-        assertEquals(Ruling.ATTEMPTS_SPENT, gate.begin(attempt(request), START));
+        assertEquals(Ruling.ATTEMPTS_SPENT, gate.checkBegin(newAttempt(request), START_TIME));
     }
 
     @Test
-    void aBoundedReadThatWaitedIsNotSentToDataTooOld() {
-        Attempt attempt = attempt(request("recent"));
-        long bound = attempt.request.kind.bound();
-        replica.position = LATER - bound;
-        assertEquals(Ruling.ALLOWED, gate.send(attempt, LATER));
-        replica.position = LATER - bound - 1;
-        assertEquals(Ruling.DATA_TOO_OLD, gate.send(attempt, LATER));
+    void deniesADelayedBoundedReadIfTheDataIsTooOld() {
+        Attempt attempt = newAttempt(newRequest("recent"));
+        long bound = attempt.request.requestClass.bound();
+        replica.position = SEND_TIME - bound;
+        assertEquals(Ruling.ALLOWED, gate.checkSend(attempt, SEND_TIME));
+        replica.position = SEND_TIME - bound - 1;
+        assertEquals(Ruling.DATA_TOO_OLD, gate.checkSend(attempt, SEND_TIME));
         replica.role = Gateway.Role.PRIMARY;
-        assertEquals(Ruling.ALLOWED, gate.send(attempt, LATER));
+        assertEquals(Ruling.ALLOWED, gate.checkSend(attempt, SEND_TIME));
     }
 
     @Test
-    void whatWaitedIsNotSentToAServerThatLeaves() {
-        Attempt attempt = attempt(request("archive"));
-        replica.leavingSince = LATER - settings.rules().drainGrace() / 2;
-        assertEquals(Ruling.SERVER_LEAVING, gate.send(attempt, LATER));
+    void deniesADelayedAttemptIfTheServerIsLeaving() {
+        Attempt attempt = newAttempt(newRequest("archive"));
+        replica.leavingSince = SEND_TIME - settings.rules().drainGrace() / 2;
+        assertEquals(Ruling.SERVER_LEAVING, gate.checkSend(attempt, SEND_TIME));
         replica.leavingSince++;
-        assertEquals(Ruling.ALLOWED, gate.send(attempt, LATER));
+        assertEquals(Ruling.ALLOWED, gate.checkSend(attempt, SEND_TIME));
     }
 
     @Test
-    void whatWasWordedEarlierIsNotSentOnceItsWaitIsTooLong() {
-        Attempt attempt = attempt(request("archive"));
-        assertEquals(Ruling.ALLOWED, gate.sendLate(attempt, START + 100 * MILLI, false));
-        assertEquals(Ruling.WAIT_TOLD_TOO_LONG, gate.sendLate(attempt, START + 101 * MILLI, false));
-        assertEquals(Ruling.ALLOWED, gate.sendLate(attempt, START + 101 * MILLI, true), "the server is taking it");
+    void deniesALateSendIfTheAnnouncedWaitIsTooLong() {
+        Attempt attempt = newAttempt(newRequest("archive"));
+        assertEquals(Ruling.ALLOWED, gate.checkLateSend(attempt, START_TIME + 100 * NANOS_PER_MILLI, false));
+        assertEquals(Ruling.WAIT_TOLD_TOO_LONG, gate.checkLateSend(attempt, START_TIME + 101 * NANOS_PER_MILLI, false));
+        assertEquals(
+                Ruling.ALLOWED,
+                gate.checkLateSend(attempt, START_TIME + 101 * NANOS_PER_MILLI, true),
+                "the server is already reading it");
     }
 
     @Test
-    void whatWentOutAgainstTheRulesIsAViolation() {
-        Attempt attempt = attempt(request("archive"));
-        gate.sent(attempt, START + 151 * MILLI);
-        assertTrue(gate.violations().isEmpty(), "held up for longer than it has to bear");
-        assertEquals(Ruling.ALLOWED, gate.sendLate(attempt, START + 1 * MILLI, false));
-        gate.sent(attempt, START + 150 * MILLI);
+    void recordsAViolationForASendAgainstTheRules() {
+        Attempt attempt = newAttempt(newRequest("archive"));
+        gate.recordSent(attempt, START_TIME + 151 * NANOS_PER_MILLI);
+        assertTrue(gate.violations().isEmpty(), "the process was paused for longer than it has to bear");
+        assertEquals(Ruling.ALLOWED, gate.checkLateSend(attempt, START_TIME + 1 * NANOS_PER_MILLI, false));
+        gate.recordSent(attempt, START_TIME + 150 * NANOS_PER_MILLI);
         assertTrue(gate.violations().isEmpty());
-        assertThrows(AssertionError.class, () -> gate.sent(attempt, START + 151 * MILLI));
-        attempt.toldMillis = 1;
-        attempt.request.over = true;
-        attempt.request.overAt = START;
-        gate.sent(attempt, START + 100 * MILLI);
-        assertThrows(AssertionError.class, () -> gate.sent(attempt, START + 101 * MILLI));
+        assertThrows(AssertionError.class, () -> gate.recordSent(attempt, START_TIME + 151 * NANOS_PER_MILLI));
+        attempt.announcedWaitMillis = 1;
+        attempt.request.isOver = true;
+        attempt.request.overAt = START_TIME;
+        gate.recordSent(attempt, START_TIME + 100 * NANOS_PER_MILLI);
+        assertThrows(AssertionError.class, () -> gate.recordSent(attempt, START_TIME + 101 * NANOS_PER_MILLI));
         assertEquals(Map.of(Ruling.WAIT_TOLD_TOO_LONG, 1L, Ruling.REQUEST_OVER, 1L), gate.violations());
     }
 
     @Test
-    void anUploadThatMayHaveRunIsNotRefusedAndNothingIsAnsweredTwice() {
-        Attempt attempt = attempt(request("upload"));
+    void deniesRefusingAnUploadThatMayHaveRunAndAnsweringTwice() {
+        Attempt attempt = newAttempt(newRequest("upload"));
         Answer refused = new Answer.Refused(0);
-        assertEquals(Ruling.ALLOWED, gate.answer(attempt.request, refused));
-        attempt.state = Attempt.State.OUT;
-        assertEquals(Ruling.REFUSED_THOUGH_IT_MAY_HAVE_RUN, gate.answer(attempt.request, refused));
-        assertEquals(Ruling.ALLOWED, gate.answer(attempt.request, new Answer.Failed("")));
-        attempt.request.over = true;
-        assertEquals(Ruling.ANSWERED_TWICE, gate.answer(attempt.request, new Answer.Failed("")));
+        assertEquals(Ruling.ALLOWED, gate.checkAnswer(attempt.request, refused));
+        attempt.state = Attempt.State.WRITTEN;
+        assertEquals(Ruling.REFUSED_THOUGH_IT_MAY_HAVE_RUN, gate.checkAnswer(attempt.request, refused));
+        assertEquals(Ruling.ALLOWED, gate.checkAnswer(attempt.request, new Answer.Failed("")));
+        attempt.request.isOver = true;
+        assertEquals(Ruling.ANSWERED_TWICE, gate.checkAnswer(attempt.request, new Answer.Failed("")));
     }
 
     @Test
-    void aClientThatIsOwedAnAnswerIsNotClosed() {
-        assertEquals(Ruling.ALLOWED, gate.close(0));
-        assertEquals(Ruling.ANSWER_OWED, gate.close(1));
+    void deniesClosingAClientThatIsOwedAnAnswer() {
+        assertEquals(Ruling.ALLOWED, gate.checkClose(0));
+        assertEquals(Ruling.ANSWER_OWED, gate.checkClose(1));
     }
 }
