--- a/lab/src/test/java/stoatrill/lab/rig/PlantedFaultTest.java
+++ b/lab/src/test/java/stoatrill/lab/rig/PlantedFaultTest.java
@@ -19,7 +19,7 @@
     private static final int CLIENTS = 6;
     private static final int NODES = 4;
     private static final String LOOP = "stoatrill/net/EventLoop.java";
-    private static final String RELOADED = "replacement = null;";
+    private static final String RELOADED = "pendingConfig = null;";
 
     /** An interrupted read taken for the end of the stream closes connections under their requests. */
     @Test
@@ -27,8 +27,8 @@
         RunLine planted = PlantedBugTest.planted(
                 dir,
                 "stoatrill/io/Connection.java",
-                "} else if (reads && count == -1) {",
-                "} else if (reads && count < 0) {");
+                "} else if (isRead && count == -1) {",
+                "} else if (isRead && count < 0) {");
         CallFaultLibrary library;
         try {
             library = CallFaultLibrary.build(Files.createDirectories(dir.resolve("library")));
@@ -52,13 +52,14 @@
 
     @Test
     void aRouterThatEndsByItselfIsCaught(@TempDir Path dir) throws Exception {
-        Checker.Verdict verdict = hungUp(dir, "replacement = null; System.exit(3);");
+        Checker.Verdict verdict = hungUp(dir, "pendingConfig = null; System.exit(3);");
         assertFalse(verdict.endedByItself().isEmpty(), verdict.toString());
     }
 
     @Test
     void anEventThatFailsIsCaughtByTheLog(@TempDir Path dir) throws Exception {
-        Checker.Verdict verdict = hungUp(dir, "replacement = null; if (anew != null) throw new AssertionError();");
+        Checker.Verdict verdict =
+                hungUp(dir, "pendingConfig = null; if (newConfig != null) throw new AssertionError();");
         assertFalse(verdict.logged().isEmpty(), verdict.toString());
     }
 
--- a/lab/src/test/java/stoatrill/lab/rig/ReadyAfterRestartTest.java
+++ b/lab/src/test/java/stoatrill/lab/rig/ReadyAfterRestartTest.java
@@ -74,7 +74,7 @@
     @Test
     void aRouterThatWaitsForDiscoveryBeforeItServesIsSeen(@TempDir Path dir) throws Exception {
         RunLine waits = PlantedBugTest.planted(
-                dir, "stoatrill/net/EventLoop.java", "ready = !known.entries().isEmpty();", "ready = false;");
+                dir, "stoatrill/net/EventLoop.java", "isReady = !knownList.entries().isEmpty();", "isReady = false;");
         try (SilentDiscovery discovery = new SilentDiscovery();
                 RouterProc router = start(waits, "on_request", discovery, dir, 0);
                 Socket client = new Socket(InetAddress.getLoopbackAddress(), router.await())) {
--- a/router/src/main/java/stoatrill/http/ResponseParser.java
+++ b/router/src/main/java/stoatrill/http/ResponseParser.java
@@ -5,17 +5,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Reads responses piece by piece: bodies by length, in chunks, or until the connection ends. */
+/** An incremental parser of responses: bodies by length, in chunks, or until the connection closes. */
 public final class ResponseParser {
-    private static final int LONGEST_LINE = 8192;
-    private static final int LONGEST_HEAD = 100;
-    private static final int LONGEST_BODY = 4 << 20;
+    private static final int LINE_LIMIT_BYTES = 8192;
+    private static final int HEADER_COUNT_LIMIT = 100;
+    private static final int BODY_LIMIT_BYTES = 4 << 20;
 
-    /** A whole response; {@code reusable} if the connection takes another request. */
-    @SuppressWarnings("ArrayRecordComponent") // carries a body to its reader uncopied; never compared
+    /** A complete response; {@code reusable} if the connection takes another request. */
+    @SuppressWarnings("ArrayRecordComponent") // passes the body on without a copy; never compared
     public record Response(int status, byte[] body, boolean reusable) {}
 
-    /** A response that breaks the protocol or the limits. */
+    /** Thrown for a response that violates the protocol or exceeds a limit. */
     public static final class BadResponseException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -24,45 +24,45 @@
         }
     }
 
-    private enum Part {
-        STATUS,
+    private enum State {
+        STATUS_LINE,
         HEADERS,
-        LENGTH,
-        TO_END,
+        FIXED_LENGTH_BODY,
+        BODY_UNTIL_CLOSE,
         CHUNK_SIZE,
-        CHUNK,
+        CHUNK_DATA,
         CHUNK_END,
         TRAILERS
     }
 
-    private Part part = Part.STATUS;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+    private State state = State.STATUS_LINE;
+    private final ByteArrayOutputStream currentLine = new ByteArrayOutputStream();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
-    private int headers;
-    private long left;
-    private boolean keep;
-    private boolean chunked;
+    private int headerCount;
+    private long remainingBytes;
+    private boolean isPersistent;
+    private boolean isChunked;
 
-    /** Takes bytes up to the end of a response, and returns that response; null if it is not whole yet. */
+    /** Consumes bytes up to the end of a response and returns the response; null if it is not complete yet. */
     public Response parse(ByteBuffer in) throws BadResponseException {
         while (in.hasRemaining()) {
-            switch (part) {
-                case LENGTH, CHUNK -> {
-                    int n = (int) Math.min(left, in.remaining());
-                    take(in, n);
-                    left -= n;
-                    if (left == 0 && part == Part.LENGTH) {
-                        return done();
+            switch (state) {
+                case FIXED_LENGTH_BODY, CHUNK_DATA -> {
+                    int byteCount = (int) Math.min(remainingBytes, in.remaining());
+                    appendToBody(in, byteCount);
+                    remainingBytes -= byteCount;
+                    if (remainingBytes == 0 && state == State.FIXED_LENGTH_BODY) {
+                        return completeResponse();
                     }
-                    part = left == 0 ? Part.CHUNK_END : part;
+                    state = remainingBytes == 0 ? State.CHUNK_END : state;
                 }
-                case TO_END -> take(in, in.remaining());
+                case BODY_UNTIL_CLOSE -> appendToBody(in, in.remaining());
                 default -> {
-                    String text = line(in);
-                    Response whole = text == null ? null : line(text);
-                    if (whole != null) {
-                        return whole;
+                    String text = readLine(in);
+                    Response response = text == null ? null : handleLine(text);
+                    if (response != null) {
+                        return response;
                     }
                 }
             }
@@ -70,123 +70,125 @@
         return null;
     }
 
-    /** The connection has ended: returns the response that this completes, or null. */
+    /** Called once the connection has closed: returns the response that this completes, or null. */
     public Response end() {
-        return part == Part.TO_END ? done() : null;
+        return state == State.BODY_UNTIL_CLOSE ? completeResponse() : null;
     }
 
-    private Response line(String text) throws BadResponseException {
-        switch (part) {
-            case STATUS -> status(text);
+    private Response handleLine(String text) throws BadResponseException {
+        switch (state) {
+            case STATUS_LINE -> parseStatusLine(text);
             case HEADERS -> {
                 if (!text.isEmpty()) {
-                    header(text);
+                    parseHeader(text);
                 } else if (status / 100 == 1) {
-                    reset(); // an interim response: the real one follows
-                } else if (chunked) {
-                    part = Part.CHUNK_SIZE;
-                } else if (left == 0 || status == 204 || status == 304) {
-                    return done();
+                    reset(); // an interim response; the final one follows
+                } else if (isChunked) {
+                    state = State.CHUNK_SIZE;
+                } else if (remainingBytes == 0 || status == 204 || status == 304) {
+                    return completeResponse();
                 } else {
-                    part = left > 0 ? Part.LENGTH : Part.TO_END;
+                    state = remainingBytes > 0 ? State.FIXED_LENGTH_BODY : State.BODY_UNTIL_CLOSE;
                 }
             }
             case CHUNK_SIZE -> {
-                left = number(text.split(";", 2)[0].trim(), 16);
-                part = left == 0 ? Part.TRAILERS : Part.CHUNK;
+                remainingBytes = parseNumber(text.split(";", 2)[0].trim(), 16);
+                state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new BadResponseException("chunk longer than its size");
+                    throw new BadResponseException("chunk data exceeds the chunk size");
                 }
-                part = Part.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
             }
-            default -> { // trailers
+            default -> { // TRAILERS
                 if (text.isEmpty()) {
-                    return done();
+                    return completeResponse();
                 }
             }
         }
         return null;
     }
 
-    private void status(String text) throws BadResponseException {
+    private void parseStatusLine(String text) throws BadResponseException {
         if (!text.startsWith("HTTP/1.") || text.length() < 12) {
-            throw new BadResponseException("no status line");
+            throw new BadResponseException("malformed status line");
         }
-        status = (int) number(text.substring(9, 12), 10);
-        keep = text.startsWith("HTTP/1.1");
-        left = -1;
-        part = Part.HEADERS;
+        status = (int) parseNumber(text.substring(9, 12), 10);
+        isPersistent = text.startsWith("HTTP/1.1");
+        remainingBytes = -1;
+        state = State.HEADERS;
     }
 
-    private void header(String text) throws BadResponseException {
-        if (++headers > LONGEST_HEAD) {
+    private void parseHeader(String text) throws BadResponseException {
+        if (++headerCount > HEADER_COUNT_LIMIT) {
             throw new BadResponseException("too many headers");
         }
         int colon = text.indexOf(':');
         if (colon <= 0) {
-            throw new BadResponseException("header without a name");
+            throw new BadResponseException("header line without a name");
         }
         String value = text.substring(colon + 1).trim();
         switch (text.substring(0, colon).toLowerCase(Locale.ROOT)) {
-            case "content-length" -> left = number(value, 10);
-            case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
-            case "connection" -> keep = keep ? !value.equalsIgnoreCase("close") : value.equalsIgnoreCase("keep-alive");
+            case "content-length" -> remainingBytes = parseNumber(value, 10);
+            case "transfer-encoding" ->
+                isChunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
+            case "connection" ->
+                isPersistent = isPersistent ? !value.equalsIgnoreCase("close") : value.equalsIgnoreCase("keep-alive");
             default -> {}
         }
     }
 
-    private static long number(String text, int base) throws BadResponseException {
+    private static long parseNumber(String text, int radix) throws BadResponseException {
         try {
-            long number = Long.parseLong(text, base);
-            if (number >= 0 && number <= LONGEST_BODY) {
+            long number = Long.parseLong(text, radix);
+            if (number >= 0 && number <= BODY_LIMIT_BYTES) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
-        throw new BadResponseException("length \"" + text + "\" is not a number from 0 to " + LONGEST_BODY);
+        throw new BadResponseException("length \"" + text + "\" is not a number from 0 to " + BODY_LIMIT_BYTES);
     }
 
-    private void take(ByteBuffer in, int n) throws BadResponseException {
-        if (body.size() + n > LONGEST_BODY) {
-            throw new BadResponseException("body too long");
+    private void appendToBody(ByteBuffer in, int byteCount) throws BadResponseException {
+        if (body.size() + byteCount > BODY_LIMIT_BYTES) {
+            throw new BadResponseException("body is too long");
         }
-        byte[] bytes = new byte[n];
+        byte[] bytes = new byte[byteCount];
         in.get(bytes);
         body.writeBytes(bytes);
     }
 
-    /** The next whole line without its end, or null. */
-    private String line(ByteBuffer in) throws BadResponseException {
+    /** Returns the next complete line without its line terminator, or null. */
+    private String readLine(ByteBuffer in) throws BadResponseException {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
-                String text = line.toString(StandardCharsets.ISO_8859_1);
-                line.reset();
+                String text = currentLine.toString(StandardCharsets.ISO_8859_1);
+                currentLine.reset();
                 return text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
             }
-            if (line.size() >= LONGEST_LINE) {
-                throw new BadResponseException("line too long");
+            if (currentLine.size() >= LINE_LIMIT_BYTES) {
+                throw new BadResponseException("line is too long");
             }
-            line.write(b);
+            currentLine.write(b);
         }
         return null;
     }
 
-    private Response done() {
-        Response response = new Response(status, body.toByteArray(), keep && part != Part.TO_END);
+    private Response completeResponse() {
+        Response response = new Response(status, body.toByteArray(), isPersistent && state != State.BODY_UNTIL_CLOSE);
         reset();
         return response;
     }
 
     private void reset() {
-        part = Part.STATUS;
-        line.reset();
+        state = State.STATUS_LINE;
+        currentLine.reset();
         body.reset();
-        headers = 0;
-        left = -1;
-        chunked = false;
+        headerCount = 0;
+        remainingBytes = -1;
+        isChunked = false;
     }
 }
--- a/router/src/main/java/stoatrill/io/Connection.java
+++ b/router/src/main/java/stoatrill/io/Connection.java
@@ -8,111 +8,114 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * One non-blocking connection over TCP, registered with a {@link Poller}. Calls that fail are made again at once a few
- * times, so that one failure is never taken for the end of a connection that still works: a peer that has really gone
- * makes the repeats fail too. For the poller's thread alone.
+ * One non-blocking TCP connection, registered with a {@link Poller}. Failed calls are retried at once a few times, so
+ * that a single failure is never taken for the end of a connection that still works; if the peer has really gone, the
+ * retries fail too. For the poller's thread alone.
  */
 public final class Connection {
-    /** Bytes handed to the system at a time. */
-    private static final int MOST_WRITTEN = 128 * 1024;
-    /** How often an interrupted or failed call is made again at once. */
-    private static final int REPEATS = 16;
-    /** How often a call is made again at once after the system has said that the connection is broken. */
-    private static final int SECOND_LOOKS = 2;
+    /** Bytes passed to the system in one call. */
+    private static final int WRITE_LIMIT_BYTES = 128 * 1024;
+    /** Attempts made at once for a call that is interrupted or fails. */
+    private static final int ATTEMPT_LIMIT = 16;
+    /** Immediate retries after the system has reported that the connection is broken. */
+    private static final int BROKEN_RETRY_LIMIT = 2;
 
     private final SystemCalls calls;
     private final Poller poller;
     private final SocketChannel channel;
     private final SelectionKey key;
-    private final Repeats reads = new Repeats();
-    private final Repeats writes = new Repeats();
-    /** What the owner wants to be told of; the key has more while the registration is being confirmed. */
-    private int wanted;
-    /** Whether the system has not yet shown that it knows the registration. */
-    private boolean unconfirmed;
-    /** Whether the connection that was begun came up at once. */
-    private boolean upAtOnce;
-
-    /** Registers a socket that never blocks. */
+    private final Repeats readRetries = new Repeats();
+    private final Repeats writeRetries = new Repeats();
+    /** The interest set of the owner; that of the key is larger while the registration is unconfirmed. */
+    private int wantedInterest;
+    /** Whether no event has shown yet that the system has the registration. */
+    private boolean isUnconfirmed;
+    /** Whether the call that began the connection also completed it. */
+    private boolean connectedImmediately;
+
+    /** Registers a non-blocking socket. */
     Connection(SystemCalls calls, Poller poller, SocketChannel channel, int interest, Object owner)
             throws ClosedChannelException {
         this.calls = calls;
         this.poller = poller;
         this.channel = channel;
-        this.wanted = interest;
+        this.wantedInterest = interest;
         this.key = poller.register(channel, interest, owner);
-        if (isRead(interest)) {
-            confirm();
+        if (includesRead(interest)) {
+            requestConfirmation();
         }
     }
 
-    /** Begins to connect; an interrupted call goes on, and the selector tells how it ends. */
-    void connect(InetSocketAddress to) throws IOException {
-        upAtOnce = calls.connect(channel, to);
+    /** Begins to connect; an interrupted call continues, and the selector reports its end. */
+    void connect(InetSocketAddress address) throws IOException {
+        connectedImmediately = calls.connect(channel, address);
     }
 
-    /** Whether the connection came up in the call that began it; the selector then need not tell. */
-    public boolean upAtOnce() {
-        return upAtOnce;
+    /** Whether the connection was established by the call that began it; the selector need not report it then. */
+    public boolean connectedImmediately() {
+        return connectedImmediately;
     }
 
-    /** A call on the socket: gives a count, or throws. */
+    /** A call on the socket, which returns a count or throws. */
     private interface Call {
-        int make() throws IOException;
+        int invoke() throws IOException;
     }
 
-    /** Reads what is there. */
-    public IoResult read(ByteBuffer into) {
-        return transfer(() -> calls.read(channel, into), reads, true);
+    /** Reads available data. */
+    public IoResult read(ByteBuffer target) {
+        return transfer(() -> calls.read(channel, target), readRetries, true);
     }
 
-    /** Writes what the socket takes, a part of it at a time: the platform copies all that it is handed. */
-    public IoResult write(ByteBuffer from) {
-        int end = from.limit();
-        from.limit(Math.min(end, from.position() + MOST_WRITTEN));
+    /** Writes what the socket takes, in limited pieces, since the platform copies everything it is given. */
+    public IoResult write(ByteBuffer source) {
+        int originalLimit = source.limit();
+        source.limit(Math.min(originalLimit, source.position() + WRITE_LIMIT_BYTES));
         try {
-            return transfer(() -> calls.write(channel, from), writes, false);
+            return transfer(() -> calls.write(channel, source), writeRetries, false);
         } finally {
-            from.limit(end);
+            source.limit(originalLimit);
         }
     }
 
-    private IoResult transfer(Call call, Repeats repeats, boolean reads) {
-        IoResult last = IoResult.INTERRUPTED;
-        int broken = 0;
-        for (int n = 0; n < REPEATS && broken <= SECOND_LOOKS; n++) {
+    private IoResult transfer(Call call, Repeats retries, boolean isRead) {
+        IoResult lastFailure = IoResult.INTERRUPTED;
+        int brokenCount = 0;
+        for (int attempt = 0; attempt < ATTEMPT_LIMIT && brokenCount <= BROKEN_RETRY_LIMIT; attempt++) {
             try {
-                int count = call.make();
+                int count = call.invoke();
                 if (count > 0) {
-                    repeats.succeeded();
+                    retries.recordSuccess();
                     return IoResult.progress(count);
                 } else if (count == 0) {
-                    repeats.succeeded();
+                    retries.recordSuccess();
                     return IoResult.NOTHING_NOW;
-                } else if (reads && count == -1) {
-                    // Behind an error the end is no end in order: a reset is told once, and then as an end.
-                    return broken > 0 ? last : IoResult.END_OF_STREAM;
+                } else if (isRead && count == -1) {
+                    // After an error this is not an orderly end: a reset is reported once, then as end of stream.
+                    return brokenCount > 0 ? lastFailure : IoResult.END_OF_STREAM;
                 }
             } catch (IOException e) {
-                last = IoResult.failed(IoErrors.outcome(e), e);
-                if (last.outcome() == Outcome.FATAL) {
-                    return last;
+                lastFailure = IoResult.failed(IoErrors.classify(e), e);
+                if (lastFailure.outcome() == Outcome.FATAL) {
+                    return lastFailure;
                 }
-                broken += last.outcome() == Outcome.BROKEN ? 1 : 0;
+                brokenCount += lastFailure.outcome() == Outcome.BROKEN ? 1 : 0;
             }
         }
-        if (broken > SECOND_LOOKS || !repeats.mayRepeat(System.nanoTime())) {
-            return new IoResult(Outcome.BROKEN, 0, last.why());
+        if (brokenCount > BROKEN_RETRY_LIMIT || !retries.mayRetry(System.nanoTime())) {
+            return new IoResult(Outcome.BROKEN, 0, lastFailure.reason());
         }
-        return new IoResult(Outcome.NO_RESOURCE, 0, last.why());
+        return new IoResult(Outcome.NO_RESOURCE, 0, lastFailure.reason());
     }
 
-    /** Whether it is certain that nothing has come in, nor the end. What has is lost, so it must then be closed. */
-    public boolean quiet() {
-        return read(poller.oneByte()).outcome() == Outcome.NOTHING_NOW;
+    /**
+     * Whether it is certain that neither data nor the end of the stream has arrived. Data that has arrived is lost, so
+     * a connection that is not quiet must be closed.
+     */
+    public boolean isQuiet() {
+        return read(poller.probeBuffer()).outcome() == Outcome.NOTHING_NOW;
     }
 
-    /** Looks whether a connection that was begun is up: progress if it is. */
+    /** Checks a pending connect: {@link Outcome#PROGRESS} if the connection is established. */
     public IoResult finishConnect() {
         try {
             return calls.finishConnect(channel) ? IoResult.DONE : IoResult.NOTHING_NOW;
@@ -121,48 +124,48 @@
         }
     }
 
-    /** Ends sending; what the peer sends can still be read. */
-    public IoResult endSending() {
-        IoResult last = IoResult.INTERRUPTED;
-        for (int n = 0; n < REPEATS; n++) {
+    /** Shuts down the sending side; data from the peer can still be read. */
+    public IoResult shutdownOutput() {
+        IoResult lastFailure = IoResult.INTERRUPTED;
+        for (int attempt = 0; attempt < ATTEMPT_LIMIT; attempt++) {
             try {
-                calls.endSending(channel);
+                calls.shutdownOutput(channel);
                 return IoResult.DONE;
             } catch (IOException e) {
-                last = IoResult.failed(Outcome.BROKEN, e);
+                lastFailure = IoResult.failed(Outcome.BROKEN, e);
             }
         }
-        return last;
+        return lastFailure;
     }
 
-    /** Closes it; it is closed whatever the system says. */
+    /** Closes the connection; it counts as closed even if the system reports an error. */
     public void close() {
         key.cancel();
-        poller.closed(this);
+        poller.forget(this);
         try {
             calls.close(channel);
         } catch (IOException e) {
-            // Linux frees the descriptor also where close fails
+            // Linux frees the descriptor even if close fails
         }
     }
 
-    // ---- Interest ----
+    // ---- Interest set ----
 
-    /** Asks to be told of an operation of {@link SelectionKey}, or no longer. */
-    public void interest(int operation, boolean on) {
-        int before = wanted;
-        wanted = on ? wanted | operation : wanted & ~operation;
-        if (wanted == before) {
+    /** Adds an operation of {@link SelectionKey} to the interest set, or removes it. */
+    public void setInterest(int operation, boolean enabled) {
+        int previousInterest = wantedInterest;
+        wantedInterest = enabled ? wantedInterest | operation : wantedInterest & ~operation;
+        if (wantedInterest == previousInterest) {
             return;
         }
-        if (isRead(wanted) && !isRead(before)) {
-            confirm();
+        if (includesRead(wantedInterest) && !includesRead(previousInterest)) {
+            requestConfirmation();
         } else {
-            apply();
+            applyInterest();
         }
     }
 
-    /** Whether the selector has found that a connection that was begun may be up. */
+    /** Whether the selector has found that a pending connect may be complete. */
     public boolean isConnectable() {
         return key.isValid() && key.isConnectable();
     }
@@ -172,56 +175,57 @@
         return key.isValid() && key.isWritable();
     }
 
-    /** Whether the selector has found something to read. */
+    /** Whether the selector has found data, or the end of the stream, to read. */
     public boolean isReadable() {
         return key.isValid() && key.isReadable();
     }
 
-    /** The selector has found something: so the system knows the registration. */
-    public void found() {
-        if (unconfirmed) {
-            unconfirmed = false;
-            poller.confirmed(this);
-            apply();
+    /** Called when the selector has selected the key, which shows that the system has the registration. */
+    public void confirmRegistration() {
+        if (isUnconfirmed) {
+            isUnconfirmed = false;
+            poller.markConfirmed(this);
+            applyInterest();
         }
     }
 
     /**
-     * Asks to be told of room to write too, which there nearly always is: the platform's selector says nothing of a
-     * registration that the system refused for want of memory, and a connection without one would never be read.
+     * Adds an interest in writing, which is nearly always possible, until an event confirms the registration. The
+     * platform's selector does not report a registration that the system refused for lack of memory, and a connection
+     * without one would never be read.
      */
-    private void confirm() {
-        unconfirmed = true;
-        poller.unconfirmed(this);
-        apply();
+    private void requestConfirmation() {
+        isUnconfirmed = true;
+        poller.markUnconfirmed(this);
+        applyInterest();
     }
 
-    private void apply() {
+    private void applyInterest() {
         if (key.isValid()) {
-            int operations = unconfirmed ? wanted | SelectionKey.OP_WRITE : wanted;
+            int operations = isUnconfirmed ? wantedInterest | SelectionKey.OP_WRITE : wantedInterest;
             if (operations != key.interestOps()) {
                 key.interestOps(operations);
             }
         }
     }
 
-    /** Takes the registration back, so that {@link #registerAnew} makes the system take it once more. */
-    void unregister() {
+    /** Clears the interest set of the key, so that {@link #restoreInterest} registers it with the system again. */
+    void clearInterest() {
         if (key.isValid()) {
             key.interestOps(0);
         }
     }
 
-    /** Registers it again. */
-    void registerAnew() {
-        if (isRead(wanted)) {
-            confirm();
+    /** Registers the interest set again after {@link #clearInterest}. */
+    void restoreInterest() {
+        if (includesRead(wantedInterest)) {
+            requestConfirmation();
         } else {
-            apply();
+            applyInterest();
         }
     }
 
-    private static boolean isRead(int operations) {
+    private static boolean includesRead(int operations) {
         return (operations & SelectionKey.OP_READ) != 0;
     }
 }
--- a/router/src/main/java/stoatrill/io/FileReader.java
+++ b/router/src/main/java/stoatrill/io/FileReader.java
@@ -8,7 +8,7 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Reads the files that a router is told of. Safe for any thread. */
+/** Reads the files that the configuration of a router names. Thread-safe. */
 public final class FileReader {
     private final SystemCalls calls;
 
@@ -17,29 +17,33 @@
     }
 
     /**
-     * The text of a file in UTF-8. Fatal if there is no such file or it isn't text; no resource for every other
-     * failure, which may pass.
+     * Reads a text file in UTF-8. {@link Outcome#FATAL} if there is no such file or it isn't text,
+     * {@link Outcome#NO_RESOURCE} for every other failure, which may be temporary.
      */
     public Opened<String> text(String file) {
         try {
             ByteBuffer bytes = ByteBuffer.wrap(calls.readFile(Path.of(file)));
-            return Opened.of(StandardCharsets.UTF_8.newDecoder().decode(bytes).toString());
+            return Opened.success(
+                    StandardCharsets.UTF_8.newDecoder().decode(bytes).toString());
         } catch (NoSuchFileException | CharacterCodingException | InvalidPathException e) {
-            return Opened.none(Outcome.FATAL, e.getClass().getSimpleName());
+            return Opened.failure(Outcome.FATAL, e.getClass().getSimpleName());
         } catch (IOException e) {
-            return Opened.none(Outcome.NO_RESOURCE, e.getClass().getSimpleName());
+            return Opened.failure(Outcome.NO_RESOURCE, e.getClass().getSimpleName());
         }
     }
 
-    /** The first bytes of a file that may have no end; no resource if they can't be had now. */
-    public Opened<byte[]> first(String file, int bytes) {
+    /**
+     * Reads the first bytes of a file that may have no end. {@link Outcome#NO_RESOURCE} if they can't be read
+     * at the moment.
+     */
+    public Opened<byte[]> firstBytes(String file, int byteCount) {
         try {
-            byte[] read = calls.readFirst(Path.of(file), bytes);
-            return read.length == bytes ? Opened.of(read) : Opened.none(Outcome.FATAL, "it is too short");
+            byte[] read = calls.readFirstBytes(Path.of(file), byteCount);
+            return read.length == byteCount ? Opened.success(read) : Opened.failure(Outcome.FATAL, "file is too short");
         } catch (NoSuchFileException | InvalidPathException e) {
-            return Opened.none(Outcome.FATAL, e.getClass().getSimpleName());
+            return Opened.failure(Outcome.FATAL, e.getClass().getSimpleName());
         } catch (IOException e) {
-            return Opened.none(Outcome.NO_RESOURCE, e.getClass().getSimpleName());
+            return Opened.failure(Outcome.NO_RESOURCE, e.getClass().getSimpleName());
         }
     }
 }
--- a/router/src/main/java/stoatrill/io/IoErrors.java
+++ b/router/src/main/java/stoatrill/io/IoErrors.java
@@ -6,10 +6,10 @@
 import java.nio.channels.ClosedChannelException;
 import java.util.List;
 
-/** Tells by an exception of the platform's library what a failed call came to. */
+/** Maps the exceptions of the platform's library to an {@link Outcome}. */
 final class IoErrors {
-    /** What the system says, in the C locale, where a connection is of no more use. */
-    private static final List<String> ENDS = List.of(
+    /** Parts of the system's error messages, in the C locale, that mean that a connection can no longer be used. */
+    private static final List<String> BROKEN_CONNECTION_TEXTS = List.of(
             "reset",
             "Broken pipe",
             "refused",
@@ -22,17 +22,18 @@
     private IoErrors() {}
 
     /**
-     * Broken where the system says so; fatal where the channel is closed. Anything else may pass: what the manual pages
-     * document for calls that may succeed when made again, and what they don't name.
+     * Classifies a failed call: {@link Outcome#FATAL} if the channel is closed, {@link Outcome#BROKEN} if the
+     * system reports a broken connection. Everything else may be temporary: errors for which the manual pages document
+     * that the call may succeed when retried, and errors that they don't mention.
      */
-    static Outcome outcome(IOException error) {
+    static Outcome classify(IOException error) {
         if (error instanceof ClosedChannelException) {
             return Outcome.FATAL;
         }
         if (error instanceof ConnectException || error instanceof NoRouteToHostException) {
             return Outcome.BROKEN;
         }
-        String said = String.valueOf(error.getMessage());
-        return ENDS.stream().anyMatch(said::contains) ? Outcome.BROKEN : Outcome.NO_RESOURCE;
+        String message = String.valueOf(error.getMessage());
+        return BROKEN_CONNECTION_TEXTS.stream().anyMatch(message::contains) ? Outcome.BROKEN : Outcome.NO_RESOURCE;
     }
 }
--- a/router/src/main/java/stoatrill/io/IoResult.java
+++ b/router/src/main/java/stoatrill/io/IoResult.java
@@ -1,12 +1,12 @@
 package stoatrill.io;
 
 /**
- * What a call on a connection came to.
+ * The result of a call on a connection.
  *
- * @param bytes how many were transferred; above 0 for progress of a read or write, else 0
- * @param why what the system said of a failure; empty without one
+ * @param bytes number of bytes transferred; above 0 for progress of a read or write, else 0
+ * @param reason the system's message on a failure; empty without one
  */
-public record IoResult(Outcome outcome, int bytes, String why) {
+public record IoResult(Outcome outcome, int bytes, String reason) {
     static final IoResult DONE = new IoResult(Outcome.PROGRESS, 0, "");
     static final IoResult NOTHING_NOW = new IoResult(Outcome.NOTHING_NOW, 0, "");
     static final IoResult END_OF_STREAM = new IoResult(Outcome.END_OF_STREAM, 0, "");
--- a/router/src/main/java/stoatrill/io/Listener.java
+++ b/router/src/main/java/stoatrill/io/Listener.java
@@ -7,24 +7,24 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** The socket that takes connections; it never blocks. For the poller's thread alone. */
+/** A non-blocking listening socket. For the poller's thread alone. */
 public final class Listener {
     private final SystemCalls calls;
     private final ServerSocketChannel channel;
     private final SelectionKey key;
 
     /**
-     * Listens from now on; connections wait in the backlog until {@link #accept}.
+     * Starts listening; connections wait in the backlog until {@link #accept}.
      *
-     * @throws IOException if the address can't be listened on
+     * @throws IOException if the address can't be bound
      */
-    public Listener(SystemCalls calls, Poller poller, InetSocketAddress at, int backlog) throws IOException {
+    public Listener(SystemCalls calls, Poller poller, InetSocketAddress address, int backlog) throws IOException {
         this.calls = calls;
         this.channel = ServerSocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            channel.bind(at, backlog);
+            channel.bind(address, backlog);
             key = poller.register(channel, SelectionKey.OP_ACCEPT, null);
         } catch (IOException e) {
             channel.close();
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Where it listens, with the port that the system chose if none was given; null once it is closed. */
+    /** The address that it listens on, with the port that the system chose if none was given; null once closed. */
     public InetSocketAddress address() {
         try {
             return (InetSocketAddress) channel.getLocalAddress();
@@ -42,24 +42,25 @@
     }
 
     /**
-     * Takes the next connection. Nothing now if none waits, or the one that waited has failed meanwhile, as Linux tells
-     * by an error of this call; no resource if there is no descriptor or memory for it.
+     * Accepts the next connection. {@link Outcome#NOTHING_NOW} if none waits, or if the waiting one has failed in the
+     * meantime, which Linux reports as an error of this call; {@link Outcome#NO_RESOURCE} if there is no descriptor
+     * or memory for it.
      */
     public Opened<SocketChannel> accept() {
         try {
             SocketChannel accepted = calls.accept(channel);
-            return accepted == null ? Opened.none(Outcome.NOTHING_NOW, "") : Opened.of(accepted);
+            return accepted == null ? Opened.failure(Outcome.NOTHING_NOW, "") : Opened.success(accepted);
         } catch (IOException e) {
-            return Opened.none(
-                    IoErrors.outcome(e) == Outcome.BROKEN ? Outcome.NOTHING_NOW : IoErrors.outcome(e),
+            return Opened.failure(
+                    IoErrors.classify(e) == Outcome.BROKEN ? Outcome.NOTHING_NOW : IoErrors.classify(e),
                     String.valueOf(e.getMessage()));
         }
     }
 
-    /** Asks to be told of connections that wait, or no longer. */
-    public void interest(boolean on) {
+    /** Starts or stops reporting waiting connections through the selector. */
+    public void setAccepting(boolean enabled) {
         if (key.isValid()) {
-            key.interestOps(on ? SelectionKey.OP_ACCEPT : 0);
+            key.interestOps(enabled ? SelectionKey.OP_ACCEPT : 0);
         }
     }
 
@@ -67,12 +68,12 @@
         return channel.isOpen();
     }
 
-    /** Takes no more connections; those that wait in the backlog are reset. */
+    /** Stops listening; connections that wait in the backlog are reset. */
     public void close() {
         try {
             channel.close();
         } catch (IOException e) {
-            // Linux frees the descriptor also where close fails
+            // Linux frees the descriptor even if close fails
         }
     }
 }
--- a/router/src/main/java/stoatrill/io/Outcome.java
+++ b/router/src/main/java/stoatrill/io/Outcome.java
@@ -1,17 +1,17 @@
 package stoatrill.io;
 
-/** What a system call came to. Callers switch over it without a default, so that none is forgotten. */
+/** The outcome of a system call. Callers switch over it without a default, so that every case is handled. */
 public enum Outcome {
-    /** It did what it was asked to, at least in part. */
+    /** The call succeeded, at least in part. */
     PROGRESS,
-    /** There is nothing to be had, or no room, at this moment; the selector tells when that changes. */
+    /** The call would block: there is no data or no room at the moment; the selector reports when that changes. */
     NOTHING_NOW,
-    /** The peer has ended its sending, after all that it had to say. */
+    /** The peer has shut down its sending side after all its data. */
     END_OF_STREAM,
-    /** The connection is of no more use: it was reset, or could not be made. */
+    /** The connection can no longer be used: it was reset, or could not be established. */
     BROKEN,
-    /** The call failed for a reason that passes (interrupted, no memory, no descriptor): it is to be made again. */
+    /** The call failed temporarily (interrupted, no memory, no descriptor) and is to be retried. */
     NO_RESOURCE,
-    /** The call can never succeed: what it was made on is closed. */
+    /** The call can never succeed: the channel is closed, or the file is missing or unusable. */
     FATAL
 }
--- a/router/src/main/java/stoatrill/io/PlatformCalls.java
+++ b/router/src/main/java/stoatrill/io/PlatformCalls.java
@@ -15,13 +15,13 @@
 final class PlatformCalls implements SystemCalls {
 
     @Override
-    public int read(SocketChannel channel, ByteBuffer into) throws IOException {
-        return channel.read(into);
+    public int read(SocketChannel channel, ByteBuffer target) throws IOException {
+        return channel.read(target);
     }
 
     @Override
-    public int write(SocketChannel channel, ByteBuffer from) throws IOException {
-        return channel.write(from);
+    public int write(SocketChannel channel, ByteBuffer source) throws IOException {
+        return channel.write(source);
     }
 
     @Override
@@ -30,23 +30,23 @@
     }
 
     @Override
-    public SocketChannel open() throws IOException {
+    public SocketChannel openSocket() throws IOException {
         return SocketChannel.open();
     }
 
     @Override
-    public void neverBlock(SocketChannel channel) throws IOException {
+    public void configureNonBlocking(SocketChannel channel) throws IOException {
         channel.configureBlocking(false);
     }
 
     @Override
-    public void sendAtOnce(SocketChannel channel) throws IOException {
+    public void disableSendDelay(SocketChannel channel) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     }
 
     @Override
-    public boolean connect(SocketChannel channel, InetSocketAddress to) throws IOException {
-        return channel.connect(to);
+    public boolean connect(SocketChannel channel, InetSocketAddress address) throws IOException {
+        return channel.connect(address);
     }
 
     @Override
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void endSending(SocketChannel channel) throws IOException {
+    public void shutdownOutput(SocketChannel channel) throws IOException {
         channel.shutdownOutput();
     }
 
@@ -65,8 +65,8 @@
     }
 
     @Override
-    public int select(Selector selector, long millis) throws IOException {
-        return millis > 0 ? selector.select(millis) : selector.selectNow();
+    public int select(Selector selector, long timeoutMillis) throws IOException {
+        return timeoutMillis > 0 ? selector.select(timeoutMillis) : selector.selectNow();
     }
 
     @Override
@@ -75,9 +75,9 @@
     }
 
     @Override
-    public byte[] readFirst(Path file, int bytes) throws IOException {
+    public byte[] readFirstBytes(Path file, int byteCount) throws IOException {
         try (InputStream in = Files.newInputStream(file)) {
-            return in.readNBytes(bytes);
+            return in.readNBytes(byteCount);
         }
     }
 }
--- a/router/src/main/java/stoatrill/io/Poller.java
+++ b/router/src/main/java/stoatrill/io/Poller.java
@@ -13,31 +13,35 @@
 import java.util.Set;
 
 /**
- * The selector, and the connections that are made for it. It repairs registrations that the system has refused or lost,
- * which the platform's selector does not report. For one thread, except {@link #wakeUp}.
+ * A selector and the connections registered with it. It restores registrations that the system has refused or lost,
+ * which the platform's selector does not report. Not thread-safe, except {@link #wakeUp}.
  */
 public final class Poller {
-    /** How long the system has to show that it knows a registration, in nanoseconds; doubled with each repair. */
-    private static final long CONFIRM_NANOS = 2_000_000L;
+    /** Time within which an event must confirm a registration; doubled with each repair. */
+    private static final long FIRST_CONFIRM_NANOS = 2_000_000L;
 
+    /** Upper bound of that time. */
     private static final long LONGEST_CONFIRM_NANOS = 128_000_000L;
-    /** Waits that end at once with nothing found, and none that lasts, from which on a change of interest was lost. */
-    private static final int MOST_EMPTY = 64;
+    /**
+     * Waits that return at once with nothing found, and no longer wait between them, after which a change of interest
+     * counts as lost.
+     */
+    private static final int EMPTY_SELECT_LIMIT = 64;
 
-    /** How often a call that prepares a socket is made again. */
-    private static final int REPEATS = 8;
+    /** Attempts for a call that prepares or opens a socket. */
+    private static final int SETUP_ATTEMPT_LIMIT = 8;
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final SystemCalls calls;
     private final Selector selector;
     private final Set<Connection> unconfirmed = new LinkedHashSet<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final ByteBuffer oneByte = ByteBuffer.allocate(1);
+    private final ByteBuffer probeBuffer = ByteBuffer.allocate(1);
     private long repairAt;
-    private long confirm = CONFIRM_NANOS;
-    private int empty;
-    private long repairs;
+    private long confirmTimeoutNanos = FIRST_CONFIRM_NANOS;
+    private int emptySelects;
+    private long repairCount;
 
     /**
      * Opens a selector.
@@ -49,39 +53,42 @@
         this.selector = Selector.open();
     }
 
-    /** Waits for so many milliseconds at most until something is found; 0 does not wait. */
-    public IoResult select(long millis) {
-        long began = System.nanoTime();
-        repair(began);
-        long wait = unconfirmed.isEmpty() ? millis : Math.min(millis, Math.max(1, (repairAt - began) / MILLI));
+    /** Waits until something is found, at most for the given time; 0 does not wait. */
+    public IoResult select(long timeoutMillis) {
+        long startedAt = System.nanoTime();
+        repairRegistrations(startedAt);
+        long waitMillis = unconfirmed.isEmpty()
+                ? timeoutMillis
+                : Math.min(timeoutMillis, Math.max(1, (repairAt - startedAt) / NANOS_PER_MILLI));
         try {
-            int found = calls.select(selector, wait);
-            if (wait > 0) {
-                noteWait(found, System.nanoTime() - began);
+            int found = calls.select(selector, waitMillis);
+            if (waitMillis > 0) {
+                checkForBusyLoop(found, System.nanoTime() - startedAt);
             }
             return IoResult.progress(found);
         } catch (IOException e) {
-            return IoResult.failed(Outcome.NO_RESOURCE, e); // what was closed, or the call itself, failed; made anew
+            // either the call itself or a pending close that it carried out has failed; the caller retries
+            return IoResult.failed(Outcome.NO_RESOURCE, e);
         }
     }
 
-    /** What the last call of {@link #select} found, and what was left there before. */
-    public Set<SelectionKey> found() {
+    /** The keys that the last {@link #select} found, and those left from before. */
+    public Set<SelectionKey> selectedKeys() {
         return selector.selectedKeys();
     }
 
-    /** Ends a wait; may be called from any thread. */
+    /** Ends a wait in {@link #select}; may be called from any thread. */
     public void wakeUp() {
         try {
             selector.wakeup();
         } catch (InternalError e) {
-            // the system refused the write that ends the wait: it ends by itself within the time it was given
+            // the system refused the write that ends the wait; the wait ends at its own timeout
         }
     }
 
-    /** How many registrations were made again since the system did not show that it knew them. */
-    public long repairs() {
-        return repairs;
+    /** The number of registrations made again because they were not confirmed or a change of interest was lost. */
+    public long repairCount() {
+        return repairCount;
     }
 
     /** Closes the selector. */
@@ -89,91 +96,91 @@
         try {
             selector.close();
         } catch (IOException e) {
-            // of no more use either way
+            // the selector is no longer used either way
         }
     }
 
     // ---- Connections ----
 
-    /** Begins a connection: {@link Connection#finishConnect} tells when it is up. */
-    public Opened<Connection> connect(InetSocketAddress to, Object owner) {
+    /** Begins a connection: {@link Connection#finishConnect} tells when it is established. */
+    public Opened<Connection> connect(InetSocketAddress address, Object owner) {
         SocketChannel channel;
         try {
-            channel = calls.open();
+            channel = calls.openSocket();
         } catch (IOException e) {
-            return Opened.none(Outcome.NO_RESOURCE, String.valueOf(e.getMessage()));
+            return Opened.failure(Outcome.NO_RESOURCE, String.valueOf(e.getMessage()));
         }
         try {
             prepare(channel);
             Connection connection = new Connection(calls, this, channel, SelectionKey.OP_CONNECT, owner);
-            connection.connect(to);
-            return Opened.of(connection);
+            connection.connect(address);
+            return Opened.success(connection);
         } catch (IOException e) {
-            discard(channel);
-            return Opened.none(Outcome.BROKEN, String.valueOf(e.getMessage()));
+            closeQuietly(channel);
+            return Opened.failure(Outcome.BROKEN, String.valueOf(e.getMessage()));
         }
     }
 
-    /** Takes over a socket that is connected: it is read from now on. */
+    /** Registers a connected socket for reading. */
     public Opened<Connection> adopt(SocketChannel channel, Object owner) {
         try {
             prepare(channel);
-            return Opened.of(new Connection(calls, this, channel, SelectionKey.OP_READ, owner));
+            return Opened.success(new Connection(calls, this, channel, SelectionKey.OP_READ, owner));
         } catch (IOException e) {
-            discard(channel);
-            return Opened.none(Outcome.BROKEN, String.valueOf(e.getMessage()));
+            closeQuietly(channel);
+            return Opened.failure(Outcome.BROKEN, String.valueOf(e.getMessage()));
         }
     }
 
-    /** Whether the system gives a descriptor; asked a few times, since one call may fail by itself. */
-    public boolean hasDescriptor() {
-        for (int n = 0; n < REPEATS; n++) {
+    /** Whether the system provides a descriptor; tries several times, since a single call may fail. */
+    public boolean canOpenSocket() {
+        for (int attempt = 0; attempt < SETUP_ATTEMPT_LIMIT; attempt++) {
             try {
-                discard(calls.open());
+                closeQuietly(calls.openSocket());
                 return true;
             } catch (IOException e) {
-                // asked again
+                // retried
             }
         }
         return false;
     }
 
     private void prepare(SocketChannel channel) throws IOException {
-        repeated(() -> calls.neverBlock(channel), true);
-        repeated(() -> calls.sendAtOnce(channel), false); // without it small writes only come later
+        retry(() -> calls.configureNonBlocking(channel), true);
+        retry(() -> calls.disableSendDelay(channel), false); // optional: without it small writes are only delayed
     }
 
     private interface Step {
-        void take() throws IOException;
+        void run() throws IOException;
     }
 
-    /** Makes a call again while it fails, a few times; fails with the last failure if it must succeed. */
-    private static void repeated(Step step, boolean must) throws IOException {
-        IOException last = null;
-        for (int n = 0; n < REPEATS; n++) {
+    /** Retries a failing call a few times; throws the last failure if the call must succeed. */
+    private static void retry(Step step, boolean mustSucceed) throws IOException {
+        IOException lastFailure = null;
+        for (int attempt = 0; attempt < SETUP_ATTEMPT_LIMIT; attempt++) {
             try {
-                step.take();
+                step.run();
                 return;
             } catch (IOException e) {
-                last = e;
+                lastFailure = e;
             }
         }
-        if (must) {
-            throw last;
+        if (mustSucceed) {
+            throw lastFailure;
         }
     }
 
-    private void discard(SocketChannel channel) {
+    private void closeQuietly(SocketChannel channel) {
         try {
             calls.close(channel);
         } catch (IOException e) {
-            // Linux frees the descriptor also where close fails
+            // Linux frees the descriptor even if close fails
         }
     }
 
-    /** Room for one byte, for looking whether any has come in. */
-    ByteBuffer oneByte() {
-        return oneByte.clear();
+    /** A buffer of one byte, to check whether any data has arrived. */
+    ByteBuffer probeBuffer() {
+        return probeBuffer.clear();
     }
 
     // ---- Registrations ----
@@ -182,54 +189,54 @@
         return channel.register(selector, interest, owner);
     }
 
-    void unconfirmed(Connection connection) {
+    void markUnconfirmed(Connection connection) {
         if (unconfirmed.isEmpty()) {
-            confirm = CONFIRM_NANOS;
-            repairAt = System.nanoTime() + confirm;
+            confirmTimeoutNanos = FIRST_CONFIRM_NANOS;
+            repairAt = System.nanoTime() + confirmTimeoutNanos;
         }
         connections.add(connection);
         unconfirmed.add(connection);
     }
 
-    void confirmed(Connection connection) {
+    void markConfirmed(Connection connection) {
         unconfirmed.remove(connection);
     }
 
-    void closed(Connection connection) {
+    void forget(Connection connection) {
         connections.remove(connection);
         unconfirmed.remove(connection);
     }
 
-    private void repair(long now) {
+    private void repairRegistrations(long now) {
         if (!unconfirmed.isEmpty() && now - repairAt >= 0) {
-            registerAnew(unconfirmed);
-            confirm = Math.min(LONGEST_CONFIRM_NANOS, confirm * 2);
-            repairAt = now + confirm;
+            reregister(unconfirmed);
+            confirmTimeoutNanos = Math.min(LONGEST_CONFIRM_NANOS, confirmTimeoutNanos * 2);
+            repairAt = now + confirmTimeoutNanos;
         }
     }
 
     /**
-     * Guards against a change of interest that the system refused: it goes on telling of what nobody asks for, and
-     * every wait ends at once.
+     * Detects a change of interest that the system refused: it then keeps reporting an operation that is no longer
+     * wanted, and every wait returns at once. All connections are registered again.
      */
-    private void noteWait(int found, long nanos) {
-        if (nanos >= MILLI) {
-            empty = 0;
-        } else if (found == 0 && ++empty >= MOST_EMPTY) {
-            empty = 0;
-            registerAnew(connections);
+    private void checkForBusyLoop(int found, long waitedNanos) {
+        if (waitedNanos >= NANOS_PER_MILLI) {
+            emptySelects = 0;
+        } else if (found == 0 && ++emptySelects >= EMPTY_SELECT_LIMIT) {
+            emptySelects = 0;
+            reregister(connections);
         }
     }
 
-    private void registerAnew(Set<Connection> which) {
-        List<Connection> all = List.copyOf(which);
-        repairs += all.size();
-        all.forEach(Connection::unregister);
+    private void reregister(Set<Connection> affected) {
+        List<Connection> copies = List.copyOf(affected);
+        repairCount += copies.size();
+        copies.forEach(Connection::clearInterest);
         try {
-            calls.select(selector, 0); // carries out what was taken back
+            calls.select(selector, 0); // carries out the cleared interest sets
         } catch (IOException e) {
-            // carried out by the next one
+            // the next select carries them out
         }
-        all.forEach(Connection::registerAnew);
+        copies.forEach(Connection::restoreInterest);
     }
 }
--- a/router/src/main/java/stoatrill/io/Repeats.java
+++ b/router/src/main/java/stoatrill/io/Repeats.java
@@ -1,27 +1,27 @@
 package stoatrill.io;
 
 /**
- * For how long calls that fail are made again on one connection: guards against waiting for ever on one that fails in
- * a way nobody has documented. Used by one thread.
+ * Bounds the time for which failing calls on one connection are retried, so that a connection whose calls fail in an
+ * undocumented way does not wait forever. Not thread-safe.
  */
 final class Repeats {
-    /** Longer than any shortage that passes is expected to last, and shorter than most clients wait. */
-    private static final long PATIENCE_NANOS = 2_000_000_000L;
+    /** Longer than a temporary shortage is expected to last, and shorter than most clients wait. */
+    private static final long RETRY_WINDOW_NANOS = 2_000_000_000L;
 
-    private boolean failing;
-    private long since;
+    private boolean isFailing;
+    private long firstFailureAt;
 
-    /** A call was made to the end: whatever failed before has passed. */
-    void succeeded() {
-        failing = false;
+    /** Records a successful call, which ends a series of failures. */
+    void recordSuccess() {
+        isFailing = false;
     }
 
-    /** A call has failed at that time of the monotonic clock; false if it has been failing for too long. */
-    boolean mayRepeat(long now) {
-        if (!failing) {
-            failing = true;
-            since = now;
+    /** Records a failed call at a time of the monotonic clock; returns false if calls have failed for too long. */
+    boolean mayRetry(long now) {
+        if (!isFailing) {
+            isFailing = true;
+            firstFailureAt = now;
         }
-        return now - since < PATIENCE_NANOS;
+        return now - firstFailureAt < RETRY_WINDOW_NANOS;
     }
 }
--- a/router/src/main/java/stoatrill/io/package-info.java
+++ b/router/src/main/java/stoatrill/io/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The edge to the operating system: every call on sockets, on the selector and on the files that a router reads. What
- * a call came to is a closed type; no negative count and no {@code IOException} leaves this package. It decides nothing
- * of requests and holds none.
+ * The boundary to the operating system: every call on sockets, on the selector and on the files that a router reads.
+ * The outcome of a call is a closed type. No negative count leaves this package, and no {@code IOException} except
+ * where the selector or the listener can't be opened. The package makes no decision about requests and holds none.
  */
 package stoatrill.io;
--- a/router/src/main/java/stoatrill/net/CancelKeys.java
+++ b/router/src/main/java/stoatrill/net/CancelKeys.java
@@ -9,39 +9,39 @@
 import stoatrill.io.Outcome;
 
 /**
- * Keys by which clients cancel, drawn so that nobody can guess another's: SipHash-2-4 (Aumasson and Bernstein, 2012) of
- * a counter under a secret of the process. The secret is read once, from the system's own source: loading the
- * platform's security providers would cost a start tens of milliseconds, and once clients are served no file is
- * needed. For one thread.
+ * Generates the keys by which clients cancel requests. A key can't be guessed by other clients: it is the SipHash-2-4
+ * (Aumasson and Bernstein, 2012) of a counter under a secret of the process. The secret is read once from the system's
+ * random source, since loading the platform's security providers would delay the start by tens of milliseconds; no file
+ * is needed once clients are served. Not thread-safe.
  */
 final class CancelKeys {
-    private static final String SOURCE = "/dev/urandom";
+    private static final String RANDOM_SOURCE = "/dev/urandom";
     private static final int SECRET_BYTES = 16;
-    /** How often the source is asked before the platform's generator is. */
-    private static final int TRIES = 8;
+    /** Attempts to read the random source before the platform's generator is used. */
+    private static final int READ_ATTEMPT_LIMIT = 8;
 
-    private static final int BLOCK_ROUNDS = 2;
-    private static final int FINAL_ROUNDS = 4;
+    private static final int BLOCK_ROUND_COUNT = 2;
+    private static final int FINAL_ROUND_COUNT = 4;
 
-    private final long first;
-    private final long second;
+    private final long firstKeyWord;
+    private final long secondKeyWord;
     private long counter;
 
-    /** Reads the secret. */
+    /** Creates a generator with a random secret. */
     CancelKeys(FileReader files) {
-        this(secret(files));
+        this(readSecret(files));
     }
 
-    /** With a secret of 16 bytes. */
+    /** Creates a generator with the given secret of 16 bytes. */
     CancelKeys(byte[] secret) {
         ByteBuffer words = ByteBuffer.wrap(secret).order(ByteOrder.LITTLE_ENDIAN);
-        first = words.getLong();
-        second = words.getLong();
+        firstKeyWord = words.getLong();
+        secondKeyWord = words.getLong();
     }
 
-    private static byte[] secret(FileReader files) {
-        for (int n = 0; n < TRIES; n++) {
-            Opened<byte[]> read = files.first(SOURCE, SECRET_BYTES);
+    private static byte[] readSecret(FileReader files) {
+        for (int attempt = 0; attempt < READ_ATTEMPT_LIMIT; attempt++) {
+            Opened<byte[]> read = files.firstBytes(RANDOM_SOURCE, SECRET_BYTES);
             if (read.outcome() == Outcome.PROGRESS) {
                 return read.value();
             }
@@ -51,8 +51,8 @@
         return secret;
     }
 
-    /** A key that is not in use; any 64 bits but 0, which is what a client that got none would send. */
-    long next(LongPredicate inUse) {
+    /** Returns a key that is not in use. It is never 0, which is what a client without a key would send. */
+    long nextKey(LongPredicate inUse) {
         long key;
         do {
             key = hash(counter++);
@@ -60,39 +60,39 @@
         return key;
     }
 
-    /** SipHash-2-4 of the eight bytes of a word, the least first. */
+    /** Returns the SipHash-2-4 of the eight bytes of a word in little-endian order. */
     long hash(long word) {
         long[] state = {
-            first ^ 0x736f6d6570736575L,
-            second ^ 0x646f72616e646f6dL,
-            first ^ 0x6c7967656e657261L,
-            second ^ 0x7465646279746573L
+            firstKeyWord ^ 0x736f6d6570736575L,
+            secondKeyWord ^ 0x646f72616e646f6dL,
+            firstKeyWord ^ 0x6c7967656e657261L,
+            secondKeyWord ^ 0x7465646279746573L
         };
         absorb(state, word);
         absorb(state, (long) Long.BYTES << 56);
         state[2] ^= 0xff;
-        rounds(state, FINAL_ROUNDS);
+        applyRounds(state, FINAL_ROUND_COUNT);
         return state[0] ^ state[1] ^ state[2] ^ state[3];
     }
 
     private static void absorb(long[] state, long block) {
         state[3] ^= block;
-        rounds(state, BLOCK_ROUNDS);
+        applyRounds(state, BLOCK_ROUND_COUNT);
         state[0] ^= block;
     }
 
-    private static void rounds(long[] v, int count) {
+    private static void applyRounds(long[] state, int count) {
         for (int n = 0; n < count; n++) {
-            v[0] += v[1];
-            v[1] = Long.rotateLeft(v[1], 13) ^ v[0];
-            v[0] = Long.rotateLeft(v[0], 32);
-            v[2] += v[3];
-            v[3] = Long.rotateLeft(v[3], 16) ^ v[2];
-            v[0] += v[3];
-            v[3] = Long.rotateLeft(v[3], 21) ^ v[0];
-            v[2] += v[1];
-            v[1] = Long.rotateLeft(v[1], 17) ^ v[2];
-            v[2] = Long.rotateLeft(v[2], 32);
+            state[0] += state[1];
+            state[1] = Long.rotateLeft(state[1], 13) ^ state[0];
+            state[0] = Long.rotateLeft(state[0], 32);
+            state[2] += state[3];
+            state[3] = Long.rotateLeft(state[3], 16) ^ state[2];
+            state[0] += state[3];
+            state[3] = Long.rotateLeft(state[3], 21) ^ state[0];
+            state[2] += state[1];
+            state[1] = Long.rotateLeft(state[1], 17) ^ state[2];
+            state[2] = Long.rotateLeft(state[2], 32);
         }
     }
 }
--- a/router/src/main/java/stoatrill/net/ClientProtocol.java
+++ b/router/src/main/java/stoatrill/net/ClientProtocol.java
@@ -4,82 +4,86 @@
 import stoatrill.core.Answer;
 import stoatrill.core.ClientRequest;
 
-/** The seam for client protocols: one connection's parser and writer. Knows no socket. */
+/**
+ * The interface of client protocols: the parser and encoder of one client connection. An implementation has no access
+ * to the socket.
+ */
 public interface ClientProtocol {
 
-    /** What a connection's protocol asks of its surroundings. */
+    /** What the protocol of a connection requires of the event loop. */
     interface Peer {
-        /** A whole request was read; its answer comes by {@link ClientProtocol#answer} with this slot. */
+        /** Submits a complete request; {@link ClientProtocol#answer} delivers its answer with the same slot. */
         void request(long slot, ClientRequest request);
 
-        /** The client asks whether the router is ready; {@link ClientProtocol#ready} tells. */
+        /** Whether the router is ready; if not, {@link ClientProtocol#ready} is called once it is. */
         boolean ready();
 
-        /** Asks for {@link ClientProtocol#proceed} in the next turn. */
+        /** Requests a call of {@link ClientProtocol#proceed} in the next iteration of the loop. */
         void proceedLater();
 
         /**
-         * The key by which another connection may take back what this one asks: unguessable, and of this connection
-         * alone for as long as it is open.
+         * The key by which another connection can cancel a request of this one. It can't be guessed and is unique to
+         * this connection for as long as it is open.
          */
         long cancelKey();
 
-        /** Takes back what the connection with that key waits for; of no effect if there is none. */
+        /** Cancels the request that the connection with the given key waits for; has no effect if there is none. */
         void cancel(long key);
 
-        /** Takes back the request with that slot; its answer follows. */
+        /** Cancels the request with the given slot; its answer still follows. */
         void takeBack(long slot);
 
+        /** Writes the bytes, or queues them until the socket takes them. */
         void write(byte[] bytes);
 
-        /** Ends the connection once everything written is out. */
+        /** Closes the connection once everything written has been sent. */
         void close();
     }
 
-    /** Bytes have come in; all of them are kept until {@link #proceed}. */
+    /** Takes received bytes; all of them are buffered until {@link #proceed}. */
     void received(ByteBuffer bytes);
 
-    /** Reads commands from what has come in, some at a time. */
+    /** Reads commands from the received bytes, a limited number at a time. */
     void proceed();
 
-    /** Takes back the request that waits longest for its answer, if one does. */
+    /** Cancels the request that has waited longest for its answer, if there is one. */
     void cancel();
 
-    /** The final answer to a request; it is written once all before it are. */
+    /** Takes the final answer to a request; it is written once all answers before it are. */
     void answer(long slot, Answer answer);
 
-    /** The router has become ready. */
+    /** Called once the router has become ready. */
     void ready();
 
-    /** How many commands have been read whole. */
+    /** The number of complete commands read. */
     long commands();
 
-    /** How many of them still wait for their answer. */
+    /** The number of commands read that still wait for their answer. */
     int waiting();
 
-    /** How many bytes are kept of what has not been read as a command yet. */
+    /** The number of received bytes that have not been read as a command yet. */
     int held();
 
-    /** Whether the answer to this slot can be written at once, since all before it are. */
+    /** Whether the answer to this slot can be written at once because all answers before it are written. */
     boolean isNext(long slot);
 
-    /** How many bytes of answers are kept until those before them are there. */
+    /** The number of bytes of answers that are held back until the answers before them have arrived. */
     long unwritten();
 
-    /** Whether a command read still waits for its answer, or part of one has come in. */
+    /** Whether a command still waits for its answer, or part of a command has been received. */
     default boolean busy() {
         return waiting() > 0 || held() > 0;
     }
 
-    /** Whether so much is unanswered that no further command is read for now. */
+    /** Whether so many commands are unanswered that no further command is read for now. */
     boolean congested();
 
-    /** Turns the client away for want of room. */
+    /** Rejects the client because the router has no room for it. */
     void turnAway();
 
-    /** Ends the conversation because handling it has failed: what still waits for its answer gets an error at once. */
+    /** Ends the conversation after an internal failure: every command that waits for its answer gets an error now. */
     void abandon();
 
-    /** Ends the conversation because the rest of what was begun has not come, or is too much to be kept. */
+    /** Ends the conversation because a message was not completed in time or is too large to buffer. */
     void expire();
 }
--- a/router/src/main/java/stoatrill/net/DescriptorBudget.java
+++ b/router/src/main/java/stoatrill/net/DescriptorBudget.java
@@ -1,70 +1,70 @@
 package stoatrill.net;
 
 /**
- * How the descriptors that the router may open are shared between clients and servers. The machine may allow fewer
- * than the configuration says: what could be held when one was refused is then the limit, until {@link #restore}.
- * Used by the event loop's thread alone.
+ * Divides the descriptors that the router may open between client and server connections. The machine may allow fewer
+ * than configured: the limit is then the number of connections that were open when a descriptor was refused, less a
+ * spare, until {@link #restoreLimit}. For the event loop's thread alone.
  */
 final class DescriptorBudget {
-    /** Descriptors for the listener, discovery, the selector and the machine's own files. */
-    private static final int RESERVED = 40;
-    /** The part of the other descriptors that servers may have whatever clients want. */
-    private static final double SERVER_PART = 0.3;
-    /** The part kept for clients however few there are. */
-    private static final double CLIENT_PART = 1.0 / 3;
-    /** Descriptors kept free for the clients that come next, and below a limit that was found. */
-    private static final int SPARE = 16;
-    /** The part of the room for clients up to which those that are idle may stay. */
-    private static final double IDLE_ROOM = 0.25;
+    /** Descriptors for the listener, discovery, the selector and the runtime's own files. */
+    private static final int RESERVED_COUNT = 40;
+    /** The share of the other descriptors that servers may use however many clients there are. */
+    private static final double SERVER_SHARE = 0.3;
+    /** The share kept for clients however few there are. */
+    private static final double CLIENT_SHARE = 1.0 / 3;
+    /** Descriptors kept free for the next clients, and below an observed limit. */
+    private static final int SPARE_COUNT = 16;
+    /** The share of the client limit up to which idle clients may stay. */
+    private static final double IDLE_CLIENT_SHARE = 0.25;
 
-    private static final int LEAST = 16;
+    private static final int MIN_CONNECTION_COUNT = 16;
 
-    private final int configured;
-    private int most;
+    private final int configuredLimit;
+    private int connectionLimit;
 
-    /** A budget for a process that is said to have so many descriptors in all. */
+    /** Creates the budget of a process with the given configured number of descriptors in total. */
     DescriptorBudget(int descriptors) {
-        this.configured = Math.max(LEAST, descriptors - RESERVED);
-        this.most = configured;
+        this.configuredLimit = Math.max(MIN_CONNECTION_COUNT, descriptors - RESERVED_COUNT);
+        this.connectionLimit = configuredLimit;
     }
 
-    /** How many connections there may be, to clients and servers together. */
-    int most() {
-        return most;
+    /** The maximum number of connections to clients and servers together. */
+    int connectionLimit() {
+        return connectionLimit;
     }
 
-    /** How many connections servers may have at least. */
-    int leastForServers() {
-        return (int) (most * SERVER_PART);
+    /** The number of connections that servers may have at least. */
+    int guaranteedServers() {
+        return (int) (connectionLimit * SERVER_SHARE);
     }
 
-    /** How many connections clients may have at most. */
-    int mostForClients() {
-        return most - leastForServers();
+    /** The maximum number of client connections. */
+    int clientLimit() {
+        return connectionLimit - guaranteedServers();
     }
 
-    /** How many clients may stay idle. */
-    int idleClients() {
-        return (int) (mostForClients() * IDLE_ROOM);
+    /** The number of clients up to which idle ones may stay. */
+    int idleClientLimit() {
+        return (int) (clientLimit() * IDLE_CLIENT_SHARE);
     }
 
     /**
-     * How many connections servers may have beside so many clients: all that no client is likely to need. Guards
-     * against closing a warm connection for each new one, in large deployments and where requests take long, while
-     * clients use a part of theirs.
+     * The maximum number of server connections beside the given number of clients: all descriptors that clients are not
+     * likely to need. A fixed limit would close a warm connection for each new one, in large deployments and where
+     * requests take long, while clients use only part of their share.
      */
-    int forServers(int clients) {
-        int forClients = Math.max(clients + SPARE, (int) (most * CLIENT_PART));
-        return Math.max(leastForServers(), most - forClients);
+    int serverLimit(int clientCount) {
+        int keptForClients = Math.max(clientCount + SPARE_COUNT, (int) (connectionLimit * CLIENT_SHARE));
+        return Math.max(guaranteedServers(), connectionLimit - keptForClients);
     }
 
-    /** A descriptor was refused while so many connections were open: from now on there may be fewer. */
-    void refusedAt(int connections) {
-        most = Math.max(LEAST, Math.min(most, connections - SPARE));
+    /** Lowers the limit after a descriptor was refused while the given number of connections was open. */
+    void lowerLimit(int openConnections) {
+        connectionLimit = Math.max(MIN_CONNECTION_COUNT, Math.min(connectionLimit, openConnections - SPARE_COUNT));
     }
 
-    /** Goes back to what is configured: what the machine lacked may be there again. */
-    void restore() {
-        most = configured;
+    /** Restores the configured limit, since the machine may have descriptors again. */
+    void restoreLimit() {
+        connectionLimit = configuredLimit;
     }
 }
--- a/router/src/main/java/stoatrill/net/EventLoop.java
+++ b/router/src/main/java/stoatrill/net/EventLoop.java
@@ -41,161 +41,183 @@
 import stoatrill.io.Poller;
 import stoatrill.io.SystemCalls;
 
-/** One thread and one selector: turns what the sockets do into events, and carries out the effects. */
+/**
+ * The router's event loop: one thread and one selector. It turns socket activity into events for the {@link Reducer}
+ * and carries out the {@link Effects} that the reducer asks for. Everything runs in the thread that calls {@link #run};
+ * only {@link #stop} and {@link #reload} may be called from any thread.
+ */
 public final class EventLoop implements Effects, DiscoveryClient.Peer {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    private static final long MILLI = 1_000_000L;
-    private static final int BUFFER = 64 * 1024;
-    private static final int BACKLOG = 512;
-    /** Bytes that a client may leave unread before nothing more is read from it. */
-    private static final long MOST_QUEUED = 512 * 1024;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final int BUFFER_BYTES = 64 * 1024;
+    private static final int BACKLOG_LIMIT = 512;
+    /** Queued output bytes from which on no further command of a client is read. */
+    private static final long QUEUED_LIMIT_BYTES = 512 * 1024;
     /**
-     * Bytes read ahead of the commands that wait for their turn. Guards against not seeing that a client has left,
-     * which shows only behind all that it sent.
+     * Bytes that are read from a client ahead of the commands that wait to be handled. The end of a connection shows
+     * only behind everything that the client sent, so reading ahead is needed to notice that a client has left.
      */
-    private static final int READ_AHEAD = 4 * BUFFER;
-    /** Events of servers, and commands of clients, between two looks at which clients have left. */
-    private static final int MOST_EVENTS = 128, MOST_COMMANDS = 256;
-    /** After SIGTERM the front still sends new connections for up to 0.4 s. */
-    private static final long ACCEPT_ON = 500 * MILLI;
-    /** SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s at most. */
-    private static final long MOST_STOP = 3_000 * MILLI;
-
-    private static final long STOP_SLACK = 500 * MILLI;
-    /** The part of that time for which clients are served on before their connections are ended. */
-    private static final double SERVE_ON = 0.92;
-    /** After the last answers clients may take so long to read them and end; a tenth of a second is left then. */
-    private static final long LAST_READ = 100 * MILLI;
-
-    /** Looks in a row that must find nothing before the listener, or a resting client, is ended; and their distance. */
-    private static final int LOOKS_BEFORE_END = 5;
-
-    private static final long LOOK_AGAIN = MILLI;
-
-    private static final long LINGER = 1_000 * MILLI;
-    /** Connections accepted in one turn. */
-    private static final int MOST_ACCEPTED = 64;
-    /** Clients ended in one turn for those that come: their descriptors are free only after the turn. */
-    private static final int MOST_SHED = 8;
-    /** Clients turned away that may linger beyond the room there is; out of the reserve. */
-    private static final int MOST_LINGERING = 16;
-    /** How long a message may take to come whole, a new client to send one, or one be idle when room is short. */
-    private static final long CLIENT_IDLE = 2_000 * MILLI;
-
-    private static final long LOOK_AT_CLIENTS = 200 * MILLI;
-    /** A client that has said nothing for so long gives way before one that has been served. */
-    private static final long MAY_BE_SILENT = 250 * MILLI;
-    /** Bytes of unfinished messages that all clients together may have here. */
-    private static final long MOST_HELD = 6 << 20;
-
-    private static final long ACCEPT_PAUSE = 100 * MILLI;
-    /** After a descriptor was refused, until what was given up for it is surely closed. */
-    private static final long OPEN_PAUSE = MILLI;
-
-    private static final long DESCRIPTOR_PAUSE = 10 * MILLI;
-    /** How long a limit of descriptors that was found so is held to be true. */
-    private static final long LIMIT_KEEPS = 10_000 * MILLI;
-
-    /** How often connections are taken though the selector has not told of any, should it have lost the listener. */
-    private static final long LOOK_AT_LISTENER = 50 * MILLI;
-    /** How long the loop waits after a system call that failed for want of something. */
-    private static final long RESOURCE_PAUSE = MILLI / 5;
-
-    private static final long LONGEST_LOOK = 1_000; // milliseconds
-    /** Calls refused a descriptor in a row from which on there really is none. */
-    private static final int MOST_REFUSALS = 4;
-
-    /** A change of the wall clock against the monotonic one that is more than its being set right bit by bit. */
-    private static final long LEAST_STEP = 50 * MILLI;
-
-    private static final long COUNTS_EVERY = 1_000 * MILLI;
-    /** How long a router whose lists are pushed waits for its agent, which answers at once, before it serves. */
-    private static final long FIRST_LIST = 500 * MILLI;
+    private static final int READ_AHEAD_BYTES = 4 * BUFFER_BYTES;
+    /** Server events that one iteration handles, so that the loop soon looks again for clients that have left. */
+    private static final int SERVER_EVENT_LIMIT = 128;
+    /** Client commands that one iteration starts, for the same reason. */
+    private static final int COMMAND_LIMIT = 256;
+    /** After SIGTERM the load balancer in front still sends new connections for up to 0.4 s. */
+    private static final long ACCEPT_DURING_STOP_NANOS = 500 * NANOS_PER_MILLI;
+    /** SIGKILL follows 0.7 s after the longest deadline, which counts as at most 3 s. */
+    private static final long STOP_DEADLINE_LIMIT_NANOS = 3_000 * NANOS_PER_MILLI;
+
+    private static final long STOP_SLACK_NANOS = 500 * NANOS_PER_MILLI;
+    /** The share of the shutdown time for which clients are still served before their connections are closed. */
+    private static final double SERVING_SHARE = 0.92;
+    /** How long clients may take to read the last answers and close; 0.1 s remains before SIGKILL after that. */
+    private static final long LAST_READ_NANOS = 100 * NANOS_PER_MILLI;
+
+    /** Consecutive checks that must find nothing before the listener or an idle client is closed. */
+    private static final int EMPTY_CHECK_COUNT = 5;
+
+    /** Interval between these checks. */
+    private static final long RECHECK_NANOS = NANOS_PER_MILLI;
+
+    /** How long a half-closed connection waits for the client to close its side. */
+    private static final long LINGER_NANOS = 1_000 * NANOS_PER_MILLI;
+    /** Connections accepted in one iteration. */
+    private static final int ACCEPT_LIMIT = 64;
+    /** Clients closed in one iteration in favour of new ones; their descriptors become free only after it. */
+    private static final int SHED_LIMIT = 8;
+    /** Rejected clients that may linger beyond the client limit; their descriptors come out of the reserve. */
+    private static final int LINGERING_CLIENT_LIMIT = 16;
+    /**
+     * How long a message may take to arrive completely, a new client may take to send its first command, and a client
+     * may be idle while descriptors are short.
+     */
+    private static final long CLIENT_IDLE_NANOS = 2_000 * NANOS_PER_MILLI;
+
+    private static final long CLIENT_CHECK_INTERVAL_NANOS = 200 * NANOS_PER_MILLI;
+    /** A client that has sent no command for this long is closed to make room before one that has been served. */
+    private static final long SILENT_CLIENT_GRACE_NANOS = 250 * NANOS_PER_MILLI;
+    /** Bytes of unparsed input that are kept for all clients together. */
+    private static final long UNPARSED_LIMIT_BYTES = 6 << 20;
+
+    private static final long ACCEPT_RETRY_NANOS = 100 * NANOS_PER_MILLI;
+    /** Delay after a refused descriptor, by which connections given up for it are certainly closed. */
+    private static final long OPEN_RETRY_NANOS = NANOS_PER_MILLI;
+
+    /** Delay after idle connections were closed for lack of descriptors, before pending ones are opened. */
+    private static final long DESCRIPTOR_RETRY_NANOS = 10 * NANOS_PER_MILLI;
+    /** How long a descriptor limit that was observed is assumed to hold. */
+    private static final long OBSERVED_LIMIT_NANOS = 10_000 * NANOS_PER_MILLI;
+
+    /** How often the loop accepts without being told by the selector, which may have lost the listener. */
+    private static final long ACCEPT_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
+    /** How long the loop pauses after a system call that failed for lack of a resource. */
+    private static final long RESOURCE_PAUSE_NANOS = NANOS_PER_MILLI / 5;
+
+    private static final long SELECT_LIMIT_MILLIS = 1_000;
+    /** Consecutive calls that must be refused a descriptor before the router concludes that none is free. */
+    private static final int REFUSAL_LIMIT = 4;
+
+    /** A change of the wall clock against the monotonic clock that is too large for gradual adjustment. */
+    private static final long CLOCK_STEP_NANOS = 50 * NANOS_PER_MILLI;
+
+    private static final long COUNTS_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
+    /** How long a router with pushed lists waits for its agent, which answers at once, before it serves clients. */
+    private static final long FIRST_LIST_WAIT_NANOS = 500 * NANOS_PER_MILLI;
 
     private final Config config;
-    private InetSocketAddress filed;
-    private InetSocketAddress discoveryAt;
-    private final Function<ClientProtocol.Peer, ClientProtocol> clientProtocol;
-    private final Function<ServerProtocol.Peer, ServerProtocol> serverProtocol;
+    private InetSocketAddress fileDiscoveryAddress;
+    private InetSocketAddress discoveryAddress;
+    private final Function<ClientProtocol.Peer, ClientProtocol> clientProtocolFactory;
+    private final Function<ServerProtocol.Peer, ServerProtocol> serverProtocolFactory;
     private final Poller poller;
     private final Listener listener;
     private final Clocks clocks;
     private final Deadlines deadlines = new Deadlines();
     private final Reducer reducer;
-    private final DiscoveryClient discovery;
-    private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER);
+    private final DiscoveryClient discoveryClient;
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+    /** Open connections to servers, by connection id. */
     private final Map<Long, ServerLink> servers = new HashMap<>();
+    /** Open client connections by id, the least recently active first. */
     private final Map<Long, ClientLink> clients = new LinkedHashMap<>();
-    private final Map<Long, ClientLink> byCancelKey = new HashMap<>();
+
+    private final Map<Long, ClientLink> clientsByCancelKey = new HashMap<>();
     private final CancelKeys cancelKeys;
-    private final ArrayDeque<Runnable> later = new ArrayDeque<>();
-    /** The clients of which bytes came in that may hold a command. */
-    private final ArrayDeque<ClientLink> due = new ArrayDeque<>();
-
-    private final DescriptorBudget budget;
-    /** Connections to servers that could not be opened yet for want of a descriptor. */
-    private final Map<Long, InetSocketAddress> unopened = new LinkedHashMap<>();
-
-    private boolean discoveryUnopened;
-    private boolean freesDescriptors;
-    private boolean opensSoon;
-    private Deadline limitEnds;
-    private final Tally tally = LOG.isDebugEnabled() ? new Tally() : null;
+    /** Tasks that run once the event or effect at hand has returned. */
+    private final ArrayDeque<Runnable> deferredTasks = new ArrayDeque<>();
+    /** Clients whose received bytes may contain a command. */
+    private final ArrayDeque<ClientLink> dueClients = new ArrayDeque<>();
+
+    private final DescriptorBudget descriptorBudget;
+    /** Endpoints of server connections that could not be opened yet for lack of a descriptor, by connection id. */
+    private final Map<Long, InetSocketAddress> unopenedServers = new LinkedHashMap<>();
+
+    private boolean discoveryOpenPending;
+    private boolean descriptorReleasePending;
+    private boolean openRetryPending;
+    private Deadline observedLimitExpiry;
+    /** Null unless debug logging is enabled. */
+    private final Tally eventCounts = LOG.isDebugEnabled() ? new Tally() : null;
+
     private DiscoveryLink discoveryLink;
-    private long clientIds;
-    private long heldInAll;
+    private long nextClientId;
+    private long totalUnparsedBytes;
     private final UnreadAnswers unreadAnswers = new UnreadAnswers();
-    private boolean ready;
-    private volatile boolean stopAsked;
-    private volatile Config replacement;
-    private Stop stop = Stop.NONE;
-    /** Whether the front has surely heard of the end, so that an idle router may go before its time. */
-    private boolean stopsIdle;
-
-    private boolean stopped;
-    private boolean lacksResource;
-    /** Whether clients are taken: not before the first list where lists are pushed. */
-    private boolean admits = true;
-
-    private boolean looksAgain;
-    private int emptyLooks;
-    /** Calls in a row that the system has refused a descriptor. */
-    private int refusals;
-
-    /** The course of a graceful shutdown: first all are served on, then connections are ended as they become idle. */
-    private enum Stop {
+    private boolean isReady;
+    private volatile boolean stopRequested;
+    private volatile Config pendingConfig;
+    private StopPhase stopPhase = StopPhase.NONE;
+    /** Whether the load balancer has certainly learnt of the shutdown, so that an idle router may stop early. */
+    private boolean mayStopWhenIdle;
+
+    private boolean isStopped;
+    private boolean hasResourceShortage;
+    /** Whether clients are accepted: with pushed lists, not before the first list. */
+    private boolean admitsClients = true;
+
+    private boolean recheckPending;
+    private int emptyAcceptChecks;
+    /** Consecutive calls that were refused a descriptor. */
+    private int consecutiveRefusals;
+
+    /** Phases of a graceful shutdown: clients are still served first, then their connections are closed once idle. */
+    private enum StopPhase {
         NONE,
-        SERVES_ON,
-        DRAINS
+        SERVING,
+        DRAINING
     }
 
-    /** Listens already; clients are served by {@link #run}. */
+    /**
+     * Opens the listener; clients are served by {@link #run}.
+     *
+     * @throws IOException if the selector or the listener can't be opened
+     */
     public EventLoop(
             Config config,
-            Function<ClientProtocol.Peer, ClientProtocol> clientProtocol,
-            Function<ServerProtocol.Peer, ServerProtocol> serverProtocol)
+            Function<ClientProtocol.Peer, ClientProtocol> clientProtocolFactory,
+            Function<ServerProtocol.Peer, ServerProtocol> serverProtocolFactory)
             throws IOException {
-        this(config, clientProtocol, serverProtocol, SystemCalls.PLATFORM);
+        this(config, clientProtocolFactory, serverProtocolFactory, SystemCalls.PLATFORM);
     }
 
-    /** As the other, with system calls that a test makes fail. */
+    /** Creates a loop with the given system calls, so that tests can make them fail. */
     EventLoop(
             Config config,
-            Function<ClientProtocol.Peer, ClientProtocol> clientProtocol,
-            Function<ServerProtocol.Peer, ServerProtocol> serverProtocol,
-            SystemCalls calls)
+            Function<ClientProtocol.Peer, ClientProtocol> clientProtocolFactory,
+            Function<ServerProtocol.Peer, ServerProtocol> serverProtocolFactory,
+            SystemCalls systemCalls)
             throws IOException {
         this.config = config;
-        this.clientProtocol = clientProtocol;
-        this.serverProtocol = serverProtocol;
+        this.clientProtocolFactory = clientProtocolFactory;
+        this.serverProtocolFactory = serverProtocolFactory;
         LOG.debug(
                 "settings {} connect {} ms, idle {} ms, sockets {}",
                 config.settings(),
-                config.connectTimeout() / MILLI,
-                config.connIdle() / MILLI,
+                config.connectTimeout() / NANOS_PER_MILLI,
+                config.connIdle() / NANOS_PER_MILLI,
                 config.sockets());
-        this.clocks = new Clocks(wall(), System.nanoTime());
-        this.budget = new DescriptorBudget(config.sockets());
+        this.clocks = new Clocks(wallClockNanos(), System.nanoTime());
+        this.descriptorBudget = new DescriptorBudget(config.sockets());
         this.reducer = new Reducer(
                 this,
                 clocks,
@@ -207,64 +229,65 @@
                         config.connectTimeout(),
                         config.connIdle(),
                         config.mostHeld(),
-                        budget.leastForServers(),
+                        descriptorBudget.guaranteedServers(),
                         config.seed()));
         if (config.contracts() != null) {
             reducer.contracts(now(), config.contracts());
         }
-        ServerList known = known(config.known());
-        this.filed = config.filed();
-        this.discoveryAt = config.discovery();
-        this.discovery = new DiscoveryClient(
+        ServerList knownList = parseKnownList(config.known());
+        this.fileDiscoveryAddress = config.filed();
+        this.discoveryAddress = config.discovery();
+        this.discoveryClient = new DiscoveryClient(
                 this,
                 deadlines,
-                host(discoveryAt),
-                known.version(),
+                hostAndPort(discoveryAddress),
+                knownList.version(),
                 DiscoveryClient.Timing.of(config.settings(), config.seed()));
-        this.cancelKeys = new CancelKeys(new FileReader(calls));
-        this.poller = new Poller(calls);
-        this.listener = new Listener(calls, poller, config.listen(), BACKLOG);
-        reducer.members(now(), Gateway.ListKind.CACHED, known.entries());
+        this.cancelKeys = new CancelKeys(new FileReader(systemCalls));
+        this.poller = new Poller(systemCalls);
+        this.listener = new Listener(systemCalls, poller, config.listen(), BACKLOG_LIMIT);
+        reducer.members(now(), Gateway.ListKind.CACHED, knownList.entries());
         if (config.settings().asked()) {
-            ready = !known.entries().isEmpty();
+            isReady = !knownList.entries().isEmpty();
         } else {
-            // The module asks for no list where lists are pushed; on sockets they come by a watch on the agent.
+            // With pushed lists the module requests none; over sockets they arrive through a watch on the agent.
             watch(true);
-            // Guards the servers that have left since: what the agent has counts as told from the first moment, and
-            // clients come at once, since the front may not have seen that a router ended. They wait in the backlog.
-            admits = false;
-            listener.interest(false);
-            deadlines.at(now() + FIRST_LIST, () -> {
-                ready(!known.entries().isEmpty());
-                admit();
+            // Servers of the known list may have left since. What the agent knows counts as known from the start, and
+            // clients connect at once, since the load balancer may not have noticed the restart. They wait in the
+            // backlog until the first list has arrived, so that none is routed to a server that has left.
+            admitsClients = false;
+            listener.setAccepting(false);
+            deadlines.at(now() + FIRST_LIST_WAIT_NANOS, () -> {
+                updateReadiness(!knownList.entries().isEmpty());
+                startAccepting();
             });
         }
         shareDescriptors();
         compareClocks();
-        lookAtClients();
-        lookAtListener();
-        if (tally != null) {
+        checkClients();
+        acceptPeriodically();
+        if (eventCounts != null) {
             logCounts();
         }
     }
 
     private void logCounts() {
-        LOG.debug("{}", tally.take());
-        deadlines.at(now() + COUNTS_EVERY, this::logCounts);
+        LOG.debug("{}", eventCounts.take());
+        deadlines.at(now() + COUNTS_INTERVAL_NANOS, this::logCounts);
     }
 
-    private static ServerList known(String json) {
+    private static ServerList parseKnownList(String json) {
         if (json != null) {
             try {
                 return ServerList.parse(json);
             } catch (ServerList.BadListException e) {
-                LOG.warn("the list known at start is of no use: {}", e.getMessage());
+                LOG.warn("ignoring the server list given at start: {}", e.getMessage());
             }
         }
         return new ServerList(-1, true, List.of());
     }
 
-    private static long wall() {
+    private static long wallClockNanos() {
         Instant now = Instant.now();
         return now.getEpochSecond() * 1_000_000_000L + now.getNano();
     }
@@ -273,404 +296,420 @@
         return clocks.now(System.nanoTime());
     }
 
-    /** Compared in each turn: what peers state by the wall clock is converted by the newest difference. */
+    /** Called in each iteration, so that wall-clock times of peers are converted by the newest difference. */
     private void compareClocks() {
-        long step = clocks.compare(wall(), System.nanoTime());
-        if (Math.abs(step) > LEAST_STEP) {
-            LOG.warn("the wall clock was stepped by {} ms", step / MILLI);
+        long stepNanos = clocks.compare(wallClockNanos(), System.nanoTime());
+        if (Math.abs(stepNanos) > CLOCK_STEP_NANOS) {
+            LOG.warn("the wall clock was stepped by {} ms", stepNanos / NANOS_PER_MILLI);
         }
     }
 
-    /** Runs something once the event or effect at hand has returned. */
-    void later(Runnable what) {
-        later.add(what);
+    /** Runs a task once the event or effect at hand has returned. */
+    void defer(Runnable task) {
+        deferredTasks.add(task);
     }
 
-    /** Runs something after so many nanoseconds. */
-    Deadline after(long span, Runnable what) {
-        return deadlines.at(now() + span, what);
+    /** Runs a task after a delay in nanoseconds. */
+    Deadline scheduleAfter(long delayNanos, Runnable task) {
+        return deadlines.at(now() + delayNanos, task);
     }
 
-    /** A system call has failed for want of something: the next turn waits a little, so as not to spin on it. */
-    void lacksResource() {
-        lacksResource = true;
+    /** Records that a system call failed for lack of a resource; the next iteration pauses so as not to spin on it. */
+    void noteResourceShortage() {
+        hasResourceShortage = true;
         count("edge", "no resource");
     }
 
-    /** What was found broken that must hold, and how often; read once {@link #run} has returned. */
+    /** Invariants that were found broken, with their counts; to be read once {@link #run} has returned. */
     Map<String, Long> brokenInvariants() {
         return reducer.brokenInvariants();
     }
 
-    /** Where clients are listened for, with the port that the system chose if the configuration has none. */
+    /** The address of the listener, with the port that the system chose if the configuration has none. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Serves until {@link #stop} was called and all that was taken is answered. */
+    /** Serves until {@link #stop} has been called and every request taken has been answered. */
     public void run() {
         LOG.info("{} listens on {}", config.name(), address());
-        while (!stopped) {
-            guarded(null, this::look);
-            guarded(null, this::turn);
+        while (!isStopped) {
+            runGuarded(null, this::selectEvents);
+            runGuarded(null, this::processEvents);
         }
-        // Guards what was read but waited for its turn: it counts as taken, so it is answered before the end.
-        while (!later.isEmpty() || !due.isEmpty()) {
-            ClientLink client = later.isEmpty() ? due.poll() : null;
-            guarded(client, client == null ? later.poll() : client::proceed);
+        // Commands that were read but not yet handled count as taken, so they are answered before the loop ends.
+        while (!deferredTasks.isEmpty() || !dueClients.isEmpty()) {
+            ClientLink client = deferredTasks.isEmpty() ? dueClients.poll() : null;
+            runGuarded(client, client == null ? deferredTasks.poll() : client::readCommands);
         }
         LOG.info("stopped; invariants broken: {}", reducer.brokenInvariants());
         listener.close();
         poller.close();
     }
 
-    /** Waits until the next deadline, or until there is something to do. */
-    private void look() {
-        boolean waits = later.isEmpty() && due.isEmpty() && poller.found().isEmpty();
-        long wait = waits ? reducer.settle(now()) - now() : 0;
-        if (lacksResource) {
-            lacksResource = false;
-            LockSupport.parkNanos(RESOURCE_PAUSE);
-        }
-        Outcome outcome = poller.select(wait > 0 ? Math.min(LONGEST_LOOK, (wait + MILLI - 1) / MILLI) : 0)
+    /** Waits for socket events, at most until the next deadline; does not wait if work is pending. */
+    private void selectEvents() {
+        boolean mayWait = deferredTasks.isEmpty()
+                && dueClients.isEmpty()
+                && poller.selectedKeys().isEmpty();
+        long waitNanos = mayWait ? reducer.settle(now()) - now() : 0;
+        if (hasResourceShortage) {
+            hasResourceShortage = false;
+            LockSupport.parkNanos(RESOURCE_PAUSE_NANOS);
+        }
+        Outcome outcome = poller.select(
+                        waitNanos > 0
+                                ? Math.min(SELECT_LIMIT_MILLIS, (waitNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI)
+                                : 0)
                 .outcome();
         if (outcome != Outcome.PROGRESS) {
-            lacksResource();
+            noteResourceShortage();
         }
     }
 
     /**
-     * Handles one event. Guards all others from a failure of it, whatever it is: it is logged, and ends at most the one
-     * connection that it came on. The loop itself ends by {@link #stop} alone.
+     * Handles one event. A failure of any kind is logged and closes at most the connection that the event came from, so
+     * that other connections are not affected. The loop itself ends only by {@link #stop}.
+     *
+     * @param link the connection that the event came from; null if none
      */
-    void guarded(Link link, Runnable event) {
+    void runGuarded(Link link, Runnable event) {
         try {
             event.run();
-        } catch (Throwable e) { // Error too: a class that can't be read, or no memory, ends no other request
-            failed(link, e);
+        } catch (Throwable e) { // also Error: failing to load a class, or no memory, ends no other request
+            handleFailure(link, e);
         }
     }
 
-    private void failed(Link link, Throwable e) {
+    private void handleFailure(Link link, Throwable e) {
         try {
             count("event", "failed");
-            LOG.error("an event failed{}", link == null ? "" : "; its connection is ended", e);
+            LOG.error("event handler failed{}", link == null ? "" : "; closing its connection", e);
             if (link != null) {
                 link.abort();
             }
-        } catch (Throwable again) {
-            later.add(link == null ? () -> {} : link::fail);
+        } catch (Throwable secondFailure) {
+            deferredTasks.add(link == null ? () -> {} : link::fail);
         }
     }
 
-    /** Asks for an orderly end; may be called from any thread. */
+    /** Requests a graceful shutdown; may be called from any thread. */
     public void stop() {
-        stopAsked = true;
+        stopRequested = true;
         poller.wakeUp();
     }
 
-    /** Takes a configuration read anew; may be called from any thread. The newest counts. */
-    public void reload(Config anew) {
-        replacement = anew;
+    /** Submits a reloaded configuration; may be called from any thread. The newest one wins. */
+    public void reload(Config newConfig) {
+        pendingConfig = newConfig;
         poller.wakeUp();
     }
 
     /**
-     * Moves to the address of discovery that the file has come to name, though a variable may have gone before
-     * it at the start. All else holds until the next start: requests under way were taken by those settings.
+     * Applies the contracts of a reloaded configuration, and moves to the discovery address that its file names if that
+     * has changed, even if a variable took precedence over the file at the start. All other settings stay until the
+     * next start, since requests in progress were accepted under them.
      */
-    private void reconfigure() {
-        Config anew = replacement;
-        if (anew == null) {
+    private void applyPendingConfig() {
+        Config newConfig = pendingConfig;
+        if (newConfig == null) {
             return;
         }
-        replacement = null;
-        reducer.contracts(now(), anew.contracts());
-        InetSocketAddress to = anew.filed();
-        boolean moves = to != null && !to.equals(filed) && !to.equals(discoveryAt);
-        filed = to;
-        LOG.info("configuration read anew; discovery {}", moves ? "moves to " + host(to) : "stays");
+        pendingConfig = null;
+        reducer.contracts(now(), newConfig.contracts());
+        InetSocketAddress newAddress = newConfig.filed();
+        boolean hasMoved =
+                newAddress != null && !newAddress.equals(fileDiscoveryAddress) && !newAddress.equals(discoveryAddress);
+        fileDiscoveryAddress = newAddress;
+        LOG.info("configuration read anew; discovery {}", hasMoved ? "moves to " + hostAndPort(newAddress) : "stays");
         if (!reducer.brokenInvariants().isEmpty()) {
             LOG.error("invariants broken so far: {}", reducer.brokenInvariants());
         }
-        if (moves) {
-            discoveryAt = to;
-            discovery.move(now(), host(to));
+        if (hasMoved) {
+            discoveryAddress = newAddress;
+            discoveryClient.move(now(), hostAndPort(newAddress));
             reducer.listMoved(now());
         }
     }
 
-    private static String host(InetSocketAddress at) {
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+    private static String hostAndPort(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /**
-     * One look at all sockets. What clients sent is read first, so that nothing more is done for one that has left;
-     * then what servers tell, and what has ended, so that the next request is routed by the newest knowledge; then
-     * time, and only then the commands.
+     * Handles what the selector has found. Client input is read first, so that nothing more is done for a client that
+     * has left; then server input and closed connections, so that the next request is routed by the newest state; then
+     * timers, and only then client commands.
      */
-    private void turn() {
+    private void processEvents() {
         compareClocks();
-        List<Link> others = new ArrayList<>();
-        boolean accept = false;
-        for (Iterator<SelectionKey> keys = poller.found().iterator(); keys.hasNext(); ) {
+        List<Link> otherLinks = new ArrayList<>();
+        boolean canAccept = false;
+        for (Iterator<SelectionKey> keys = poller.selectedKeys().iterator(); keys.hasNext(); ) {
             SelectionKey key = keys.next();
             if (key.attachment() instanceof ClientLink client) {
                 handle(client);
             } else if (!(key.attachment() instanceof Link link)) {
-                accept = true;
-            } else if (others.size() < MOST_EVENTS) {
-                others.add(link);
+                canAccept = true;
+            } else if (otherLinks.size() < SERVER_EVENT_LIMIT) {
+                otherLinks.add(link);
             } else {
-                continue; // stays selected for the next turn
+                continue; // stays selected for the next iteration
             }
             keys.remove();
         }
-        others.forEach(this::handle);
-        guarded(null, () -> reducer.tick(now()));
+        otherLinks.forEach(this::handle);
+        runGuarded(null, () -> reducer.tick(now()));
         long commands = 0;
-        for (int n = due.size(); n > 0 && commands < MOST_COMMANDS; n--) {
-            ClientLink client = due.poll();
+        for (int n = dueClients.size(); n > 0 && commands < COMMAND_LIMIT; n--) {
+            ClientLink client = dueClients.poll();
             commands -= client.protocol.commands() - 1;
-            guarded(client, client::proceed);
+            runGuarded(client, client::readCommands);
             commands += client.protocol.commands();
         }
-        if (accept) {
-            guarded(null, this::accept);
+        if (canAccept) {
+            runGuarded(null, this::acceptClients);
         }
-        for (int n = later.size(); n > 0; n--) {
-            guarded(null, later.poll());
+        for (int n = deferredTasks.size(); n > 0; n--) {
+            runGuarded(null, deferredTasks.poll());
         }
-        guarded(null, this::reconfigure);
-        if (stopAsked) {
-            guarded(null, this::shutDown);
+        runGuarded(null, this::applyPendingConfig);
+        if (stopRequested) {
+            runGuarded(null, this::advanceShutdown);
         }
     }
 
     private void handle(Link link) {
-        if (link.open()) {
-            guarded(link, () -> link.handle(buffer));
+        if (link.isOpen()) {
+            runGuarded(link, () -> link.handleSelected(readBuffer));
         }
     }
 
-    // ---- Stopping ----
+    // ---- Shutdown ----
 
-    /** Goes on with a graceful shutdown; called in each turn once one was asked for. */
-    private void shutDown() {
-        if (stop == Stop.NONE) {
-            stop = Stop.SERVES_ON;
-            long longest = config.settings().classes().stream()
+    /** Advances a graceful shutdown; called in each iteration once one has been requested. */
+    private void advanceShutdown() {
+        if (stopPhase == StopPhase.NONE) {
+            stopPhase = StopPhase.SERVING;
+            long longestGiveUpNanos = config.settings().classes().stream()
                     .mapToLong(c -> c.giveUp())
                     .max()
                     .orElse(0);
-            // Guards the other routers: clients whose connections end now would all come to them at once.
-            long span = Math.min(MOST_STOP, longest) + STOP_SLACK;
-            deadlines.at(now() + ACCEPT_ON, () -> stopsIdle = true);
-            deadlines.at(now() + (long) (span * SERVE_ON), () -> stop = Stop.DRAINS);
-            deadlines.at(now() + span, () -> {
-                reducer.failAll(now()); // an upload that takes too long still gets its one answer
-                deadlines.at(now() + LAST_READ, () -> stopped = true); // from now: the loop may be late
+            // Clients are still served for a while: closing all connections now would send every client to the other
+            // routers at once.
+            long shutdownNanos = Math.min(STOP_DEADLINE_LIMIT_NANOS, longestGiveUpNanos) + STOP_SLACK_NANOS;
+            deadlines.at(now() + ACCEPT_DURING_STOP_NANOS, () -> mayStopWhenIdle = true);
+            deadlines.at(now() + (long) (shutdownNanos * SERVING_SHARE), () -> stopPhase = StopPhase.DRAINING);
+            deadlines.at(now() + shutdownNanos, () -> {
+                reducer.failAll(now()); // an upload that takes too long still gets exactly one answer
+                deadlines.at(now() + LAST_READ_NANOS, () -> isStopped = true); // from now, as the loop may be late
             });
         }
-        boolean idle = clients.isEmpty() && reducer.unanswered() == 0;
-        if (stop == Stop.DRAINS || (stopsIdle && idle)) {
-            closeListener();
+        boolean isIdle = clients.isEmpty() && reducer.unanswered() == 0;
+        if (stopPhase == StopPhase.DRAINING || (mayStopWhenIdle && isIdle)) {
+            drainBacklog();
         }
-        if (stop == Stop.DRAINS) {
-            List.copyOf(clients.values()).forEach(ClientLink::release);
+        if (stopPhase == StopPhase.DRAINING) {
+            List.copyOf(clients.values()).forEach(ClientLink::closeIfIdle);
         }
-        stopped |= !listener.isOpen() && clients.isEmpty() && reducer.unanswered() == 0;
+        isStopped |= !listener.isOpen() && clients.isEmpty() && reducer.unanswered() == 0;
     }
 
     /**
-     * Takes the connections that wait in the backlog, which its end would reset, and ends it once several looks in a
-     * row have found none: one look that finds nothing may be a call that failed.
+     * Accepts the connections that wait in the backlog, since closing the listener would reset them. The listener is
+     * closed once several consecutive checks have found none: a single empty check may be a call that failed.
      */
-    private void closeListener() {
+    private void drainBacklog() {
         if (!listener.isOpen()) {
             return;
         }
-        long before = clientIds;
-        accept();
-        emptyLooks = before == clientIds && !lacksResource ? emptyLooks + 1 : 0;
-        if (emptyLooks >= LOOKS_BEFORE_END) {
+        long firstNewId = nextClientId;
+        acceptClients();
+        emptyAcceptChecks = firstNewId == nextClientId && !hasResourceShortage ? emptyAcceptChecks + 1 : 0;
+        if (emptyAcceptChecks >= EMPTY_CHECK_COUNT) {
             listener.close();
         } else {
-            lookAgain();
+            scheduleRecheck();
         }
     }
 
-    /** Makes the loop turn again soon. */
-    private void lookAgain() {
-        if (!looksAgain) {
-            looksAgain = true;
-            after(LOOK_AGAIN, () -> looksAgain = false);
+    /** Makes the loop run another iteration soon. */
+    private void scheduleRecheck() {
+        if (!recheckPending) {
+            recheckPending = true;
+            scheduleAfter(RECHECK_NANOS, () -> recheckPending = false);
         }
     }
 
     // ---- Clients ----
 
-    private void lookAtListener() {
-        after(LOOK_AT_LISTENER, this::lookAtListener);
-        if (admits) {
-            accept();
+    private void acceptPeriodically() {
+        scheduleAfter(ACCEPT_INTERVAL_NANOS, this::acceptPeriodically);
+        if (admitsClients) {
+            acceptClients();
         }
     }
 
-    private void accept() {
-        int shed = 0;
-        for (int n = 0; listener.isOpen() && n < MOST_ACCEPTED && shed < MOST_SHED; n++) {
+    private void acceptClients() {
+        int shedCount = 0;
+        for (int n = 0; listener.isOpen() && n < ACCEPT_LIMIT && shedCount < SHED_LIMIT; n++) {
             Opened<SocketChannel> accepted = listener.accept();
-            boolean taken =
+            boolean isAccepted =
                     switch (accepted.outcome()) {
                         case PROGRESS -> true;
                         case NOTHING_NOW, END_OF_STREAM, FATAL, BROKEN -> false;
                         case NO_RESOURCE -> {
-                            notAccepted(accepted.why());
+                            handleAcceptFailure(accepted.why());
                             yield false;
                         }
                     };
-            if (!taken) {
+            if (!isAccepted) {
                 return;
             }
-            refusals = 0;
-            int most = Math.min(budget.mostForClients(), budget.most() - reducer.serverConnections());
-            boolean full = clients.size() >= most;
-            boolean room = !full || shed();
-            shed += full ? 1 : 0;
-            take(accepted.value(), room);
+            consecutiveRefusals = 0;
+            int clientLimit = Math.min(
+                    descriptorBudget.clientLimit(), descriptorBudget.connectionLimit() - reducer.serverConnections());
+            boolean isFull = clients.size() >= clientLimit;
+            boolean hasRoom = !isFull || shedIdleClient();
+            shedCount += isFull ? 1 : 0;
+            addClient(accepted.value(), hasRoom);
         }
     }
 
-    /** Begins to serve a client that was accepted, or turns it away if there is no room for it. */
-    private void take(SocketChannel channel, boolean room) {
-        ClientLink client = new ClientLink(clientIds++);
+    /** Begins to serve an accepted client, or rejects it if there is no room for it. */
+    private void addClient(SocketChannel channel, boolean hasRoom) {
+        ClientLink client = new ClientLink(nextClientId++);
         Opened<Connection> adopted = poller.adopt(channel, client);
         if (adopted.outcome() != Outcome.PROGRESS) {
-            LOG.warn("a client that was accepted can't be served: {}", adopted.why());
+            LOG.warn("failed to register an accepted client connection: {}", adopted.why());
             count("closed", "not adopted");
             return;
         }
-        client.use(adopted.value());
+        client.attach(adopted.value());
         clients.put(client.id, client);
-        byCancelKey.put(client.cancelKey, client);
+        clientsByCancelKey.put(client.cancelKey, client);
         shareDescriptors();
-        if (!room) {
+        if (!hasRoom) {
             client.protocol.turnAway();
-            if (clients.size() > budget.mostForClients() + MOST_LINGERING) {
-                client.end("no room");
+            if (clients.size() > descriptorBudget.clientLimit() + LINGERING_CLIENT_LIMIT) {
+                client.terminate("no room");
             }
         }
     }
 
-    /** A connection could not be accepted; it waits in the backlog. */
-    private void notAccepted(String why) {
-        lacksResource();
+    /** Handles a failed accept; the connection stays in the backlog. */
+    private void handleAcceptFailure(String reason) {
+        noteResourceShortage();
         count("accept", "failed");
-        if (++refusals < MOST_REFUSALS) {
-            return; // tried again in the next turn, since the selector goes on telling of it
-        }
-        refusals = 0;
-        LOG.warn("accept failed: {}", why);
-        listener.interest(false); // guards against spinning on it
-        after(ACCEPT_PAUSE, this::admit);
-        if (!poller.hasDescriptor()) {
+        if (++consecutiveRefusals < REFUSAL_LIMIT) {
+            return; // retried in the next iteration, since the selector keeps reporting it
+        }
+        consecutiveRefusals = 0;
+        LOG.warn("accept failed: {}", reason);
+        listener.setAccepting(false); // otherwise the loop would spin on it
+        scheduleAfter(ACCEPT_RETRY_NANOS, this::startAccepting);
+        if (!poller.canOpenSocket()) {
             freeDescriptors();
         }
     }
 
     /**
-     * A descriptor was refused below the limit that is configured: holds to what could be had, gives up idle
-     * connections down to that, and then opens what waits. Nothing is lost by it: a connection that waits counts as
-     * one that comes up late.
+     * Handles a descriptor refused below the configured limit: lowers the limit to what was available, closes idle
+     * connections down to it, and then opens the pending ones. Nothing is lost: a connection that is pending counts as
+     * one that is slow to connect.
      */
     private void freeDescriptors() {
-        if (freesDescriptors) {
+        if (descriptorReleasePending) {
             return;
         }
-        freesDescriptors = true;
-        later.add(() -> {
-            int open = clients.size() + reducer.serverConnections() - unopened.size();
-            budget.refusedAt(open);
+        descriptorReleasePending = true;
+        deferredTasks.add(() -> {
+            int openConnections = clients.size() + reducer.serverConnections() - unopenedServers.size();
+            descriptorBudget.lowerLimit(openConnections);
             shareDescriptors();
-            while (clients.size() + reducer.serverConnections() > budget.most() && shed()) {
-                // one client more is ended
+            while (clients.size() + reducer.serverConnections() > descriptorBudget.connectionLimit()
+                    && shedIdleClient()) {
+                // each pass closes one client
             }
-            LOG.warn("no descriptor is free with {} connections open", open);
-            if (limitEnds != null) {
-                limitEnds.cancel();
+            LOG.warn("no descriptor is free with {} connections open", openConnections);
+            if (observedLimitExpiry != null) {
+                observedLimitExpiry.cancel();
             }
-            limitEnds = deadlines.at(now() + LIMIT_KEEPS, () -> {
-                budget.restore();
+            observedLimitExpiry = deadlines.at(now() + OBSERVED_LIMIT_NANOS, () -> {
+                descriptorBudget.restoreLimit();
                 shareDescriptors();
             });
-            deadlines.at(now() + DESCRIPTOR_PAUSE, this::openWhatWaits);
+            deadlines.at(now() + DESCRIPTOR_RETRY_NANOS, this::openPendingConnections);
         });
     }
 
-    private void openWhatWaits() {
-        opensSoon = false;
-        freesDescriptors = false;
-        Map<Long, InetSocketAddress> waiting = new LinkedHashMap<>(unopened);
-        unopened.clear();
-        if (discoveryUnopened) {
-            discoveryUnopened = false;
+    private void openPendingConnections() {
+        openRetryPending = false;
+        descriptorReleasePending = false;
+        Map<Long, InetSocketAddress> pendingServers = new LinkedHashMap<>(unopenedServers);
+        unopenedServers.clear();
+        if (discoveryOpenPending) {
+            discoveryOpenPending = false;
             open();
         }
-        waiting.forEach(this::open);
+        pendingServers.forEach(this::open);
     }
 
-    /** Accepts clients from now on, if the listener is still open. */
-    private void admit() {
-        admits = true;
+    /** Starts accepting clients, if the listener is still open. */
+    private void startAccepting() {
+        admitsClients = true;
         if (listener.isOpen()) {
-            listener.interest(true);
+            listener.setAccepting(true);
         }
     }
 
+    /** Tells the reducer how many server connections the present number of clients leaves room for. */
     private void shareDescriptors() {
-        reducer.serverConnections(now(), budget.forServers(clients.size()));
+        reducer.serverConnections(now(), descriptorBudget.serverLimit(clients.size()));
     }
 
     /**
-     * Closes a client connection to make room: one that never asked anything, else the longest idle; false if all
-     * are at work. Guards the warm ones from those that connect by hundreds and say nothing.
+     * Closes a client connection to make room: one that has never sent a command, else the one that has been idle
+     * longest, so that clients that connect by the hundred and send nothing don't displace established ones.
+     *
+     * @return false if all clients are busy
      */
-    private boolean shed() {
-        ClientLink least = null;
+    private boolean shedIdleClient() {
+        ClientLink candidate = null;
         for (ClientLink client : clients.values()) {
-            boolean silent = client.protocol.commands() == 0 && now() - client.since > MAY_BE_SILENT;
-            if (!client.protocol.busy() && (least == null || silent)) {
-                least = client;
-                if (silent) {
+            boolean isSilent =
+                    client.protocol.commands() == 0 && now() - client.lastActivityAt > SILENT_CLIENT_GRACE_NANOS;
+            if (!client.protocol.busy() && (candidate == null || isSilent)) {
+                candidate = client;
+                if (isSilent) {
                     break;
                 }
             }
         }
-        if (least != null) {
-            least.end("shed for a new client");
+        if (candidate != null) {
+            candidate.terminate("shed for a new client");
         }
-        return least != null;
+        return candidate != null;
     }
 
     /**
-     * Ends the clients that hold a descriptor for nothing. Guards against connects that say nothing, messages that
-     * never end, peers that don't read, and clients that keep a connection which they use no more.
+     * Closes clients that hold a descriptor without using it: those that connect and send nothing, never complete a
+     * message, don't read their answers, or keep a connection that they no longer use.
      */
-    private void lookAtClients() {
-        deadlines.at(now() + LOOK_AT_CLIENTS, this::lookAtClients);
-        int idleMay = budget.idleClients();
+    private void checkClients() {
+        deadlines.at(now() + CLIENT_CHECK_INTERVAL_NANOS, this::checkClients);
+        int idleLimit = descriptorBudget.idleClientLimit();
         for (ClientLink client : List.copyOf(clients.values())) {
-            if (now() - client.since < CLIENT_IDLE || client.protocol.waiting() > 0) {
+            if (now() - client.lastActivityAt < CLIENT_IDLE_NANOS || client.protocol.waiting() > 0) {
                 continue;
             }
-            if (client.protocol.held() > 0 && !client.closing) {
+            if (client.protocol.held() > 0 && !client.isClosing) {
                 client.protocol.expire();
-            } else if (client.closing
-                    || client.queued() > 0
+            } else if (client.isClosing
+                    || client.queuedBytes() > 0
                     || client.protocol.commands() == 0
-                    || clients.size() > idleMay) {
-                client.end(client.closing ? "lingered" : "idle");
+                    || clients.size() > idleLimit) {
+                client.terminate(client.isClosing ? "lingered" : "idle");
             }
         }
     }
@@ -678,25 +717,26 @@
     private final class ClientLink extends Link implements ClientProtocol.Peer {
         private final long id;
         private final ClientProtocol protocol;
-        private boolean closing;
-        private boolean half;
+        private boolean isClosing;
+        private boolean isHalfClosed;
         private boolean isDue;
-        private int held;
-        /** Bytes of answers that are not written yet, as {@link #unreadAnswers} has them. */
-        private long unread;
+        private int unparsedBytes;
+        /** Bytes of answers that are not written yet, as counted in {@link #unreadAnswers}. */
+        private long unreadBytes;
 
         private final long cancelKey;
-        private Deadline linger;
-        /** Looks in a row that found nothing while the router stops. */
-        private int quietLooks;
-        /** When it connected, a message began, a command was read or an answer given; whichever came last. */
-        private long since = now();
+        /** Null until the connection is half-closed. */
+        private Deadline lingerTimeout;
+        /** Consecutive checks during shutdown that found nothing to read. */
+        private int emptyReadChecks;
+        /** The latest time at which the client connected, began a message, sent a command or was given an answer. */
+        private long lastActivityAt = now();
 
         ClientLink(long id) {
             super(EventLoop.this);
             this.id = id;
-            this.protocol = clientProtocol.apply(this);
-            this.cancelKey = cancelKeys.next(byCancelKey::containsKey);
+            this.protocol = clientProtocolFactory.apply(this);
+            this.cancelKey = cancelKeys.nextKey(clientsByCancelKey::containsKey);
         }
 
         @Override
@@ -706,10 +746,10 @@
 
         @Override
         public void cancel(long key) {
-            ClientLink asks = byCancelKey.get(key);
-            if (asks != null) {
-                asks.proceed(); // what it had sent before it cancelled
-                asks.protocol.cancel();
+            ClientLink target = clientsByCancelKey.get(key);
+            if (target != null) {
+                target.readCommands(); // what it had sent before the cancellation
+                target.protocol.cancel();
             }
         }
 
@@ -725,163 +765,172 @@
 
         @Override
         public boolean ready() {
-            return ready;
+            return isReady;
         }
 
-        /** Reads to the end of what has come, since behind it may be the client's end. */
+        /** Reads all that has arrived, within limits, since the end of the connection may be behind it. */
         @Override
-        void readable(ByteBuffer buffer) {
-            boolean more = held == 0 || heldInAll < MOST_HELD;
-            if (!more) {
-                interest(SelectionKey.OP_READ, false); // not looked at again before others have let go of some
-                deadlines.at(now() + LOOK_AT_CLIENTS, this::pace);
+        void readAvailable(ByteBuffer buffer) {
+            boolean mayReadMore = unparsedBytes == 0 || totalUnparsedBytes < UNPARSED_LIMIT_BYTES;
+            if (!mayReadMore) {
+                setInterest(SelectionKey.OP_READ, false); // paused until other clients have released some
+                deadlines.at(now() + CLIENT_CHECK_INTERVAL_NANOS, this::updateReadInterest);
             }
-            for (int n = 0; more && n < READ_AHEAD / BUFFER && open(); n++) {
-                more = read(buffer) == Look.SOMETHING && readsAhead();
+            for (int n = 0; mayReadMore && n < READ_AHEAD_BYTES / BUFFER_BYTES && isOpen(); n++) {
+                mayReadMore = read(buffer) == ReadResult.DATA && mayReadAhead();
             }
         }
 
         @Override
-        void received(ByteBuffer bytes) {
-            if (!half && !closing) {
-                clients.remove(id); // the longest idle one is the first
+        void onReceived(ByteBuffer bytes) {
+            if (!isHalfClosed && !isClosing) {
+                clients.remove(id); // keeps the longest idle client first
                 clients.put(id, this);
-                since = protocol.held() == 0 ? now() : since;
+                lastActivityAt = protocol.held() == 0 ? now() : lastActivityAt;
                 protocol.received(bytes);
-                account();
+                updateByteCounts();
                 proceedLater();
             }
         }
 
-        /** Reads commands from what has come in. */
-        void proceed() {
+        /** Reads commands from the bytes received. */
+        void readCommands() {
             isDue = false;
-            if (open() && !half && !closing && reads()) {
-                long before = protocol.commands();
+            if (isOpen() && !isHalfClosed && !isClosing && readsItsAnswers()) {
+                long commandsBefore = protocol.commands();
                 protocol.proceed();
-                went(protocol.commands() > before);
+                updateState(protocol.commands() > commandsBefore);
             }
         }
 
         void answer(long slot, Answer answer) {
-            long before = protocol.isNext(slot) ? queued() : unread; // the next lets those kept behind it out
-            boolean kept = !(answer instanceof Answer.Served served)
-                    || unreadAnswers.hasRoom(before, served.value().length, clients.size());
-            protocol.answer(slot, kept ? answer : new Answer.Failed("the client does not read its answers"));
-            went(true);
+            long unreadBefore = protocol.isNext(slot) ? queuedBytes() : unreadBytes; // it releases those held back
+            boolean keepsValue = !(answer instanceof Answer.Served served)
+                    || unreadAnswers.hasRoom(unreadBefore, served.value().length, clients.size());
+            protocol.answer(slot, keepsValue ? answer : new Answer.Failed("the client does not read its answers"));
+            updateState(true);
         }
 
         @Override
         public void proceedLater() {
             if (!isDue) {
                 isDue = true;
-                due.add(this);
+                dueClients.add(this);
             }
         }
 
-        /** Keeps the accounts after the protocol has read commands or taken an answer. */
-        private void went(boolean on) {
-            since = on ? now() : since;
-            account();
-            if (heldInAll > MOST_HELD && held > BUFFER && !closing && !protocol.congested()) {
-                protocol.expire(); // guards memory from many large messages that are not ended
-                account();
+        /**
+         * Brings the byte counts and the read interest up to date after the protocol has read commands or taken an
+         * answer.
+         *
+         * @param hasProgressed whether a command was read or an answer taken
+         */
+        private void updateState(boolean hasProgressed) {
+            lastActivityAt = hasProgressed ? now() : lastActivityAt;
+            updateByteCounts();
+            if (totalUnparsedBytes > UNPARSED_LIMIT_BYTES
+                    && unparsedBytes > BUFFER_BYTES
+                    && !isClosing
+                    && !protocol.congested()) {
+                protocol.expire(); // bounds the memory of many large incomplete messages
+                updateByteCounts();
             }
-            pace();
+            updateReadInterest();
         }
 
-        private void account() {
-            heldInAll += protocol.held() - held;
-            held = protocol.held();
-            long unreadNow = open() ? queued() + protocol.unwritten() : 0;
-            unreadAnswers.add(unreadNow - unread);
-            unread = unreadNow;
+        private void updateByteCounts() {
+            totalUnparsedBytes += protocol.held() - unparsedBytes;
+            unparsedBytes = protocol.held();
+            long currentUnreadBytes = isOpen() ? queuedBytes() + protocol.unwritten() : 0;
+            unreadAnswers.add(currentUnreadBytes - unreadBytes);
+            unreadBytes = currentUnreadBytes;
         }
 
-        /** Whether the client reads its answers well enough for more of its commands to be read. */
-        private boolean reads() {
-            return queued() < MOST_QUEUED && unreadAnswers.hasRoom(queued(), 0, clients.size());
+        /** Whether the client reads its answers fast enough for more of its commands to be read. */
+        private boolean readsItsAnswers() {
+            return queuedBytes() < QUEUED_LIMIT_BYTES && unreadAnswers.hasRoom(queuedBytes(), 0, clients.size());
         }
 
-        private boolean readsAhead() {
-            return held < READ_AHEAD && heldInAll < MOST_HELD / 2;
+        private boolean mayReadAhead() {
+            return unparsedBytes < READ_AHEAD_BYTES && totalUnparsedBytes < UNPARSED_LIMIT_BYTES / 2;
         }
 
-        private void pace() {
-            boolean goesOn = !protocol.congested() && reads();
-            interest(SelectionKey.OP_READ, half || closing || goesOn || readsAhead());
+        private void updateReadInterest() {
+            boolean mayReadCommands = !protocol.congested() && readsItsAnswers();
+            setInterest(SelectionKey.OP_READ, isHalfClosed || isClosing || mayReadCommands || mayReadAhead());
         }
 
         @Override
-        void partlyFlushed() {
-            account();
+        void onPartlyFlushed() {
+            updateByteCounts();
         }
 
         @Override
-        void flushed() {
-            account();
-            pace();
-            if (closing) {
+        void onFlushed() {
+            updateByteCounts();
+            updateReadInterest();
+            if (isClosing) {
                 halfClose();
-            } else if (held > 0) {
-                proceedLater(); // commands may have waited for the client to read
+            } else if (unparsedBytes > 0) {
+                proceedLater(); // commands may have waited for the client to read its answers
             }
         }
 
-        /** Called by the protocol: ends the connection once all is out. */
+        /** Called by the protocol: closes the connection once all output is written. */
         @Override
         public void close() {
-            closing = true;
-            if (open() && queued() == 0) {
+            isClosing = true;
+            if (isOpen() && queuedBytes() == 0) {
                 halfClose();
             }
         }
 
         /**
-         * Ends sending and reads on until the client ends too. Guards the last answer: closing with bytes unread
-         * would reset the connection and could take the answer with it.
+         * Shuts down the sending side and keeps reading until the client closes too. Closing with unread input would
+         * reset the connection, and the client could lose the last answer.
          */
         private void halfClose() {
-            if (half || !open()) {
+            if (isHalfClosed || !isOpen()) {
                 return;
             }
-            half = true;
-            if (connection().endSending().outcome() == Outcome.PROGRESS) {
-                linger = after(LINGER, () -> end("lingered"));
+            isHalfClosed = true;
+            if (connection().shutdownOutput().outcome() == Outcome.PROGRESS) {
+                lingerTimeout = scheduleAfter(LINGER_NANOS, () -> terminate("lingered"));
             } else {
-                later.add(() -> end("can't be half-closed"));
+                deferredTasks.add(() -> terminate("can't be half-closed"));
             }
         }
 
-        /** In the course of stopping: ends the connection if nothing is under way on it. */
-        void release() {
-            if (half || !open() || protocol.busy()) {
+        /** Half-closes the connection during shutdown if nothing is in progress on it. */
+        void closeIfIdle() {
+            if (isHalfClosed || !isOpen() || protocol.busy()) {
                 return;
             }
-            // A request may have come in since the last look: it is answered first. One look that finds nothing may be
-            // a call that failed, so several must.
-            quietLooks = read(buffer) == Look.NOTHING ? quietLooks + 1 : 0;
-            if (quietLooks < LOOKS_BEFORE_END) {
-                lookAgain();
-            } else if (open() && !protocol.busy() && queued() == 0) {
+            // A request that has arrived since the last check is answered first. A single empty check may be a call
+            // that failed, so several are required.
+            emptyReadChecks = read(readBuffer) == ReadResult.NO_DATA ? emptyReadChecks + 1 : 0;
+            if (emptyReadChecks < EMPTY_CHECK_COUNT) {
+                scheduleRecheck();
+            } else if (isOpen() && !protocol.busy() && queuedBytes() == 0) {
                 halfClose();
             }
         }
 
-        void end(String why) {
-            if (open()) {
-                count("closed", why);
-                LOG.debug("client {} is ended: {}", id, why);
+        /** Closes the connection at once; the reason is counted under "closed". */
+        void terminate(String reason) {
+            if (isOpen()) {
+                count("closed", reason);
+                LOG.debug("closing client {}: {}", id, reason);
                 reducer.closes(id);
-                shut();
-                lost();
+                closeSocket();
+                onLost();
             }
         }
 
-        /** A failure in handling it: what it is owed is answered, and then it ends. */
+        /** Ends the connection after a failure in handling it; commands that wait for an answer get an error first. */
         @Override
         void abort() {
-            if (open() && !closing) {
+            if (isOpen() && !isClosing) {
                 reducer.clientGone(now(), id);
                 protocol.abandon();
             } else {
@@ -890,24 +939,24 @@
         }
 
         @Override
-        void lost() {
+        void onLost() {
             clients.remove(id);
-            byCancelKey.remove(cancelKey);
+            clientsByCancelKey.remove(cancelKey);
             shareDescriptors();
-            heldInAll -= held;
-            held = 0;
-            unreadAnswers.add(-unread);
-            unread = 0;
-            if (linger != null) {
-                linger.cancel();
+            totalUnparsedBytes -= unparsedBytes;
+            unparsedBytes = 0;
+            unreadAnswers.add(-unreadBytes);
+            unreadBytes = 0;
+            if (lingerTimeout != null) {
+                lingerTimeout.cancel();
             }
             reducer.clientGone(now(), id);
         }
     }
 
     @Override
-    public void answer(long client, long slot, Answer answer) {
-        ClientLink link = clients.get(client);
+    public void answer(long clientId, long slot, Answer answer) {
+        ClientLink link = clients.get(clientId);
         if (link != null) {
             link.answer(slot, answer);
         }
@@ -918,47 +967,47 @@
     private final class ServerLink extends Link implements ServerProtocol.Peer {
         private final long id;
         private final ServerProtocol protocol;
-        private boolean asked;
+        private boolean isAwaitingAnswer;
 
         ServerLink(long id) {
             super(EventLoop.this);
             this.id = id;
-            this.protocol = serverProtocol.apply(this);
+            this.protocol = serverProtocolFactory.apply(this);
         }
 
         @Override
-        void connected() {
+        void onConnected() {
             write(protocol.greeting());
         }
 
-        void ask(byte[] query) {
-            asked = true;
+        void sendQuery(byte[] query) {
+            isAwaitingAnswer = true;
             write(query);
         }
 
         @Override
-        boolean mayWriteLate() {
-            boolean may = !asked || reducer.maySend(now(), id, goesOut());
-            if (!may) {
-                later.add(() -> reducer.unsent(now(), id));
+        boolean mayWriteQueued() {
+            boolean mayWrite = !isAwaitingAnswer || reducer.maySend(now(), id, isWriteProgressing());
+            if (!mayWrite) {
+                deferredTasks.add(() -> reducer.unsent(now(), id));
             }
-            return may;
+            return mayWrite;
         }
 
         @Override
-        void flushed() {
-            if (asked) {
+        void onFlushed() {
+            if (isAwaitingAnswer) {
                 reducer.written(now(), id);
             }
         }
 
         @Override
-        void received(ByteBuffer bytes) {
+        void onReceived(ByteBuffer bytes) {
             protocol.received(bytes);
         }
 
         @Override
-        void lost() {
+        void onLost() {
             servers.remove(id);
             protocol.ended();
         }
@@ -970,92 +1019,92 @@
 
         @Override
         public void answered(ServerAnswer answer, boolean reusable) {
-            asked = false;
+            isAwaitingAnswer = false;
             reducer.answered(now(), id, answer, reusable);
         }
 
         @Override
-        public void broken(Break how) {
+        public void broken(Break kind) {
             if (servers.remove(id) != null) {
-                shut();
+                closeSocket();
             }
-            reducer.broken(now(), id, how);
+            reducer.broken(now(), id, kind);
         }
     }
 
     @Override
-    public void open(long connection, InetSocketAddress endpoint) {
-        ServerLink link = new ServerLink(connection);
+    public void open(long connectionId, InetSocketAddress endpoint) {
+        ServerLink link = new ServerLink(connectionId);
         Opened<Connection> opened = poller.connect(endpoint, link);
         switch (opened.outcome()) {
             case PROGRESS -> {
-                refusals = 0;
+                consecutiveRefusals = 0;
                 count("connection", "server");
-                link.use(opened.value());
-                servers.put(connection, link);
-                if (opened.value().upAtOnce()) {
-                    later.add(() -> link.up());
+                link.attach(opened.value());
+                servers.put(connectionId, link);
+                if (opened.value().connectedImmediately()) {
+                    deferredTasks.add(() -> link.markConnected());
                 }
             }
             case NO_RESOURCE -> {
-                unopened.put(connection, endpoint);
-                notOpened(opened.why());
+                unopenedServers.put(connectionId, endpoint);
+                handleOpenRefusal(opened.why());
             }
             case NOTHING_NOW, END_OF_STREAM, BROKEN, FATAL -> {
                 count("connection", "failed at once");
-                later.add(() -> reducer.broken(now(), connection, Break.ENDED));
+                deferredTasks.add(() -> reducer.broken(now(), connectionId, Break.ENDED));
             }
         }
     }
 
-    /** A descriptor was refused: once may be a call that failed, which is made again; several times is a limit. */
-    private void notOpened(String why) {
+    /** Handles a refused descriptor: a single refusal may be a failed call and is retried, several mean a limit. */
+    private void handleOpenRefusal(String reason) {
         count("open", "refused");
-        if (++refusals < MOST_REFUSALS) {
-            if (!opensSoon) {
-                opensSoon = true;
-                after(OPEN_PAUSE, this::openWhatWaits);
+        if (++consecutiveRefusals < REFUSAL_LIMIT) {
+            if (!openRetryPending) {
+                openRetryPending = true;
+                scheduleAfter(OPEN_RETRY_NANOS, this::openPendingConnections);
             }
             return;
         }
-        LOG.debug("no descriptor: {}", why);
-        refusals = 0;
+        LOG.debug("descriptor refused: {}", reason);
+        consecutiveRefusals = 0;
         freeDescriptors();
     }
 
     @Override
-    public boolean quiet(long connection) {
-        ServerLink link = servers.get(connection);
-        return link != null && link.quiet();
+    public boolean quiet(long connectionId) {
+        ServerLink link = servers.get(connectionId);
+        return link != null && link.isQuiet();
     }
 
     @Override
-    public void query(long connection, Statement statement, long waitMillis) {
-        ServerLink link = servers.get(connection);
+    public void query(long connectionId, Statement statement, long waitMillis) {
+        ServerLink link = servers.get(connectionId);
         if (link == null) {
             return;
         }
-        if (reducer.maySend(now(), connection, false)) {
-            link.ask(link.protocol.query(statement, waitMillis));
+        if (reducer.maySend(now(), connectionId, false)) {
+            link.sendQuery(link.protocol.query(statement, waitMillis));
         } else {
-            later.add(() -> reducer.unsent(now(), connection));
+            deferredTasks.add(() -> reducer.unsent(now(), connectionId));
         }
     }
 
     @Override
-    public void probe(long connection) {
-        ServerLink link = servers.get(connection);
+    public void probe(long connectionId) {
+        ServerLink link = servers.get(connectionId);
         if (link != null) {
-            link.ask(link.protocol.probe());
+            link.sendQuery(link.protocol.probe());
         }
     }
 
     @Override
-    public void close(long connection) {
-        unopened.remove(connection);
-        ServerLink link = servers.remove(connection);
+    public void close(long connectionId) {
+        unopenedServers.remove(connectionId);
+        ServerLink link = servers.remove(connectionId);
         if (link != null) {
-            link.shut();
+            link.closeSocket();
         }
     }
 
@@ -1067,23 +1116,23 @@
         }
 
         @Override
-        void connected() {
-            discovery.connected(now());
+        void onConnected() {
+            discoveryClient.connected(now());
         }
 
         @Override
-        void received(ByteBuffer bytes) {
-            discovery.received(now(), bytes);
+        void onReceived(ByteBuffer bytes) {
+            discoveryClient.received(now(), bytes);
         }
 
         @Override
-        void lost() {
+        void onLost() {
             if (discoveryLink == this) {
                 discoveryLink = null;
-                if (endedInOrder()) {
-                    discovery.ended(now());
+                if (peerEndedCleanly()) {
+                    discoveryClient.ended(now());
                 } else {
-                    discovery.broken(now());
+                    discoveryClient.broken(now());
                 }
             }
         }
@@ -1092,20 +1141,20 @@
     @Override
     public void open() {
         DiscoveryLink link = new DiscoveryLink();
-        Opened<Connection> opened = poller.connect(discoveryAt, link);
+        Opened<Connection> opened = poller.connect(discoveryAddress, link);
         switch (opened.outcome()) {
             case PROGRESS -> {
-                link.use(opened.value());
+                link.attach(opened.value());
                 discoveryLink = link;
-                if (opened.value().upAtOnce()) {
-                    later.add(() -> link.up());
+                if (opened.value().connectedImmediately()) {
+                    deferredTasks.add(() -> link.markConnected());
                 }
             }
             case NO_RESOURCE -> {
-                discoveryUnopened = true;
-                notOpened(opened.why());
+                discoveryOpenPending = true;
+                handleOpenRefusal(opened.why());
             }
-            case NOTHING_NOW, END_OF_STREAM, BROKEN, FATAL -> later.add(() -> discovery.broken(now()));
+            case NOTHING_NOW, END_OF_STREAM, BROKEN, FATAL -> deferredTasks.add(() -> discoveryClient.broken(now()));
         }
     }
 
@@ -1120,11 +1169,11 @@
 
     @Override
     public void close() {
-        discoveryUnopened = false;
+        discoveryOpenPending = false;
         DiscoveryLink link = discoveryLink;
         discoveryLink = null;
         if (link != null) {
-            link.shut();
+            link.closeSocket();
         }
     }
 
@@ -1132,26 +1181,26 @@
     public void members(long now, Gateway.ListKind kind, List<ServerEntry> entries) {
         count("list", kind.name());
         reducer.members(now, kind, entries);
-        ready(kind != Gateway.ListKind.FAILED && kind != Gateway.ListKind.SILENT);
+        updateReadiness(kind != Gateway.ListKind.FAILED && kind != Gateway.ListKind.SILENT);
     }
 
-    /** Says to who asked that the router serves from now on, if it has a list. */
-    private void ready(boolean listed) {
-        if (!ready && listed) {
-            ready = true;
-            admit();
+    /** Marks the router as ready once it has a list, and tells the clients that asked. */
+    private void updateReadiness(boolean hasList) {
+        if (!isReady && hasList) {
+            isReady = true;
+            startAccepting();
             List.copyOf(clients.values()).forEach(c -> c.protocol.ready());
         }
     }
 
     @Override
-    public void watch(boolean on) {
-        later.add(() -> discovery.follow(now(), on));
+    public void watch(boolean enabled) {
+        deferredTasks.add(() -> discoveryClient.follow(now(), enabled));
     }
 
     @Override
     public void fetch() {
-        later.add(() -> discovery.fetch(now()));
+        deferredTasks.add(() -> discoveryClient.fetch(now()));
     }
 
     @Override
@@ -1161,18 +1210,18 @@
 
     @Override
     public boolean traces() {
-        return tally != null;
+        return eventCounts != null;
     }
 
     @Override
-    public void trace(String request, String event, String why) {
-        LOG.debug("request {} {} {}", request, event, why);
+    public void trace(String request, String event, String cause) {
+        LOG.debug("request {} {} {}", request, event, cause);
     }
 
     @Override
-    public void count(String what, String why) {
-        if (tally != null) {
-            tally.add(what, why);
+    public void count(String subject, String cause) {
+        if (eventCounts != null) {
+            eventCounts.add(subject, cause);
         }
     }
 }
--- a/router/src/main/java/stoatrill/net/Link.java
+++ b/router/src/main/java/stoatrill/net/Link.java
@@ -7,250 +7,258 @@
 import stoatrill.io.Connection;
 import stoatrill.io.IoResult;
 
-/** One non-blocking connection with what is still to be written to it. */
+/**
+ * One non-blocking connection and the output that is still to be written to it. Subclasses handle its events. For the
+ * event loop's thread alone.
+ */
 abstract class Link {
     /**
-     * After so long what could not be written is tried again, though the selector has not told of room; twice as long
-     * each time. Guards against a change of interest that the system has refused without a word.
+     * Delay after which queued output is written again although the selector has not reported room; doubled each time.
+     * This covers a change of interest that the system has refused without an error.
      */
-    private static final long FIRST_RETRY = 10_000_000L;
+    private static final long FIRST_RETRY_NANOS = 10_000_000L;
 
-    private static final long LONGEST_RETRY = 640_000_000L;
+    /** Upper bound of the delay. */
+    private static final long LONGEST_RETRY_NANOS = 640_000_000L;
 
-    /** After so long without progress what is half written counts as standing still. */
-    private static final long STANDSTILL = 100_000_000L;
+    /** Time without progress after which partly written output counts as stalled. */
+    private static final long STALL_NANOS = 100_000_000L;
 
     private final EventLoop loop;
     private final ArrayDeque<ByteBuffer> outbound = new ArrayDeque<>();
     private Connection connection;
-    private long queued;
-    private boolean open = true;
-    private boolean endedInOrder;
-    private Deadline retry;
-    private long retryAfter = FIRST_RETRY;
-    private long progressAt;
+    private long queuedBytes;
+    private boolean isOpen = true;
+    private boolean peerEndedCleanly;
+    private Deadline writeRetry;
+    private long retryDelayNanos = FIRST_RETRY_NANOS;
+    private long lastProgressAt;
 
     Link(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** The connection that this is the owner of; comes before anything else. */
-    void use(Connection connection) {
+    /** Sets the connection that this link owns; must be called before any other method. */
+    void attach(Connection connection) {
         this.connection = connection;
     }
 
-    /** Bytes were read; all of them are to be taken. */
-    abstract void received(ByteBuffer bytes);
+    /** Handles bytes that were read; must consume all of them. */
+    abstract void onReceived(ByteBuffer bytes);
 
-    /** The connection is up. */
-    void connected() {}
+    /** Called once the connection is established. */
+    void onConnected() {}
 
-    /** Everything handed to {@link #write} is out. */
-    void flushed() {}
+    /** Called once everything passed to {@link #write} has been written. */
+    void onFlushed() {}
 
-    /** Some of it is out. */
-    void partlyFlushed() {}
+    /** Called when some but not all of the queued output has been written. */
+    void onPartlyFlushed() {}
 
     /**
-     * Whether what was kept for want of room may still be written: asked again at the moment of the write. If not, the
-     * connection is ended by whoever says so.
+     * Whether output that was queued for lack of room may still be written; called right before the write. An
+     * implementation that returns false is responsible for closing the connection.
      */
-    boolean mayWriteLate() {
+    boolean mayWriteQueued() {
         return true;
     }
 
-    /** The other side has ended or broken the connection; it is closed already. */
-    abstract void lost();
+    /** Called once the peer has closed or broken the connection; the socket is closed already. */
+    abstract void onLost();
 
-    boolean open() {
-        return open;
+    boolean isOpen() {
+        return isOpen;
     }
 
-    /** Whether the other side has ended its sending, after all it had to say; false if the connection was reset. */
-    boolean endedInOrder() {
-        return endedInOrder;
+    /** Whether the peer has shut down its sending side after all its data; false if the connection was reset. */
+    boolean peerEndedCleanly() {
+        return peerEndedCleanly;
     }
 
-    long queued() {
-        return queued;
+    long queuedBytes() {
+        return queuedBytes;
     }
 
     Connection connection() {
         return connection;
     }
 
-    /** Writes what the socket takes and keeps the rest; {@link #flushed} follows once all is out. */
+    /** Writes what the socket takes and queues the rest; {@link #onFlushed} follows once all is written. */
     public void write(byte[] bytes) {
-        if (!open) {
+        if (!isOpen) {
             return;
         }
         outbound.add(ByteBuffer.wrap(bytes));
-        queued += bytes.length;
+        queuedBytes += bytes.length;
         if (flush()) {
-            flushed();
+            onFlushed();
         }
     }
 
-    /** Whether a part of what is being written is out, and the other side has taken some of it lately. */
-    boolean goesOut() {
+    /** Whether part of the message being written is sent, and the peer has taken some of it recently. */
+    boolean isWriteProgressing() {
         ByteBuffer first = outbound.peek();
-        return first != null && first.position() > 0 && System.nanoTime() - progressAt < STANDSTILL;
+        return first != null && first.position() > 0 && System.nanoTime() - lastProgressAt < STALL_NANOS;
     }
 
-    /** Writes what the socket takes; true once nothing is left. */
+    /** Writes what the socket takes; returns whether nothing is left. */
     private boolean flush() {
         while (!outbound.isEmpty()) {
             ByteBuffer first = outbound.peek();
             IoResult result = connection.write(first);
-            queued -= result.bytes();
-            boolean goesOn =
+            queuedBytes -= result.bytes();
+            boolean mayContinue =
                     switch (result.outcome()) {
                         case PROGRESS -> true;
                         case NOTHING_NOW -> false;
                         case NO_RESOURCE -> {
-                            loop.lacksResource();
+                            loop.noteResourceShortage();
                             yield false;
                         }
                         case BROKEN, FATAL, END_OF_STREAM -> {
                             loop.count("closed", "write failed");
-                            loop.later(this::fail); // not from within whoever writes
+                            loop.defer(this::fail); // deferred, so that the caller of write is not called back
                             yield false;
                         }
                     };
-            if (!goesOn) {
-                connection.interest(SelectionKey.OP_WRITE, true);
-                retryLater();
+            if (!mayContinue) {
+                connection.setInterest(SelectionKey.OP_WRITE, true);
+                scheduleWriteRetry();
                 return false;
             }
-            retryAfter = FIRST_RETRY;
-            progressAt = System.nanoTime();
+            retryDelayNanos = FIRST_RETRY_NANOS;
+            lastProgressAt = System.nanoTime();
             if (!first.hasRemaining()) {
                 outbound.poll();
             }
         }
-        connection.interest(SelectionKey.OP_WRITE, false);
+        connection.setInterest(SelectionKey.OP_WRITE, false);
         return true;
     }
 
-    private void retryLater() {
-        if (retry == null) {
-            retry = loop.after(retryAfter, () -> {
-                retry = null;
-                retryAfter = Math.min(LONGEST_RETRY, 2 * retryAfter);
-                loop.guarded(this, this::writable);
+    private void scheduleWriteRetry() {
+        if (writeRetry == null) {
+            writeRetry = loop.scheduleAfter(retryDelayNanos, () -> {
+                writeRetry = null;
+                retryDelayNanos = Math.min(LONGEST_RETRY_NANOS, 2 * retryDelayNanos);
+                loop.runGuarded(this, this::writeQueued);
             });
         }
     }
 
-    /** There may be room for what was kept. */
-    private void writable() {
-        if (!open || outbound.isEmpty() || !mayWriteLate()) {
+    /** Writes queued output, if it may still be written. */
+    private void writeQueued() {
+        if (!isOpen || outbound.isEmpty() || !mayWriteQueued()) {
             return;
         }
         if (flush()) {
-            flushed();
+            onFlushed();
         } else {
-            partlyFlushed();
+            onPartlyFlushed();
         }
     }
 
-    void interest(int operation, boolean on) {
-        connection.interest(operation, on);
+    void setInterest(int operation, boolean enabled) {
+        connection.setInterest(operation, enabled);
     }
 
-    /** The connection has come up: from now on it is read. */
-    void up() {
-        if (open) {
-            interest(SelectionKey.OP_CONNECT, false);
-            interest(SelectionKey.OP_READ, true);
-            connected();
+    /** Marks the connection as established and starts reading from it. */
+    void markConnected() {
+        if (isOpen) {
+            setInterest(SelectionKey.OP_CONNECT, false);
+            setInterest(SelectionKey.OP_READ, true);
+            onConnected();
         }
     }
 
-    /** Does what the selector found possible. */
-    void handle(ByteBuffer buffer) {
-        connection.found();
+    /** Performs the operations that the selector found ready. */
+    void handleSelected(ByteBuffer buffer) {
+        connection.confirmRegistration();
         if (connection.isConnectable()) {
             IoResult result = connection.finishConnect();
             switch (result.outcome()) {
-                case PROGRESS -> up();
+                case PROGRESS -> markConnected();
                 case NOTHING_NOW, NO_RESOURCE -> {}
                 case BROKEN, FATAL, END_OF_STREAM -> fail();
             }
         }
         if (connection.isWritable()) {
-            writable();
+            writeQueued();
         }
         if (connection.isReadable()) {
-            readable(buffer);
+            readAvailable(buffer);
         }
     }
 
-    /** Something, or the end, is there to be read. */
-    void readable(ByteBuffer buffer) {
+    /** Called when data or the end of the stream can be read. */
+    void readAvailable(ByteBuffer buffer) {
         read(buffer);
     }
 
-    /** Reads what is there, up to one buffer. */
-    Look read(ByteBuffer buffer) {
+    /** Reads available data, at most one buffer. */
+    ReadResult read(ByteBuffer buffer) {
         buffer.clear();
         IoResult result = connection.read(buffer);
         return switch (result.outcome()) {
             case PROGRESS -> {
                 buffer.flip();
-                received(buffer);
-                yield Look.SOMETHING;
+                onReceived(buffer);
+                yield ReadResult.DATA;
             }
-            case NOTHING_NOW -> Look.NOTHING;
+            case NOTHING_NOW -> ReadResult.NO_DATA;
             case NO_RESOURCE -> {
-                loop.lacksResource();
-                yield Look.UNKNOWN;
+                loop.noteResourceShortage();
+                yield ReadResult.UNKNOWN;
             }
             case END_OF_STREAM -> {
-                endedInOrder = true;
+                peerEndedCleanly = true;
                 loop.count("closed", "peer ended");
                 fail();
-                yield Look.ENDED;
+                yield ReadResult.ENDED;
             }
             case BROKEN, FATAL -> {
                 loop.count("closed", "read failed");
                 fail();
-                yield Look.ENDED;
+                yield ReadResult.ENDED;
             }
         };
     }
 
-    /** What a look at the bytes that may have come in has found. */
-    enum Look {
-        SOMETHING,
-        NOTHING,
-        /** The call failed in a way that passes: there may be something. */
+    /** The result of an attempt to read. */
+    enum ReadResult {
+        DATA,
+        NO_DATA,
+        /** The call failed temporarily: there may be data. */
         UNKNOWN,
         ENDED
     }
 
-    /** Whether nothing has come in, nor the end; what has is lost, so an unquiet connection must be closed. */
-    boolean quiet() {
-        return connection.quiet();
+    /**
+     * Whether neither data nor the end of the stream has arrived. Data that has arrived is lost, so a connection that
+     * is not quiet must be closed.
+     */
+    boolean isQuiet() {
+        return connection.isQuiet();
     }
 
-    /** Ends a connection that the other side has broken. */
+    /** Closes a connection that the peer has closed or broken, and reports it by {@link #onLost}. */
     void fail() {
-        if (open) {
-            shut();
-            lost();
+        if (isOpen) {
+            closeSocket();
+            onLost();
         }
     }
 
-    /** A failure in handling it: it ends. */
+    /** Ends the connection after a failure in handling it. */
     void abort() {
         fail();
     }
 
-    void shut() {
-        open = false;
-        if (retry != null) {
-            retry.cancel();
+    /** Closes the socket without calling {@link #onLost}. */
+    void closeSocket() {
+        isOpen = false;
+        if (writeRetry != null) {
+            writeRetry.cancel();
         }
         connection.close();
     }
--- a/router/src/main/java/stoatrill/net/ServerProtocol.java
+++ b/router/src/main/java/stoatrill/net/ServerProtocol.java
@@ -5,30 +5,36 @@
 import stoatrill.core.ServerAnswer;
 import stoatrill.core.Statement;
 
-/** The seam for server protocols: one connection's parser and writer. Knows no socket. */
+/**
+ * The interface of server protocols: the parser and encoder of one server connection. An implementation has no access
+ * to the socket.
+ */
 public interface ServerProtocol {
 
-    /** What the server's bytes meant. */
+    /** Receives the events that the protocol has decoded from the server's bytes. */
     interface Peer {
-        /** The connection takes queries from now on. */
+        /** The startup is complete; the connection takes queries from now on. */
         void connectedToServer();
 
+        /** The server has answered; {@code reusable} if the connection takes another query. */
         void answered(ServerAnswer answer, boolean reusable);
 
-        /** The connection can't be used any more. */
+        /** The connection can no longer be used. */
         void broken(Break how);
     }
 
-    /** What opens the conversation. */
+    /** The bytes that open the conversation. */
     byte[] greeting();
 
+    /** Encodes a query. */
     byte[] query(Statement statement, long waitMillis);
 
+    /** Encodes a request for the server's load report. */
     byte[] probe();
 
-    /** Bytes have come in; all of them are taken. */
+    /** Takes received bytes; consumes all of them. */
     void received(ByteBuffer bytes);
 
-    /** The server's side has ended. */
+    /** Called once the server has closed or broken the connection. */
     void ended();
 }
--- a/router/src/main/java/stoatrill/net/UnreadAnswers.java
+++ b/router/src/main/java/stoatrill/net/UnreadAnswers.java
@@ -1,29 +1,31 @@
 package stoatrill.net;
 
 /**
- * The bytes of answers that clients have not read yet, of all clients together. Guards memory from clients that ask
- * and don't read: past a limit, a client that has more than its share unread gets its further answers without their
- * values. Used by the event loop's thread alone.
+ * Counts the bytes of answers that clients have not read yet, over all clients. This bounds the memory taken by clients
+ * that send requests and don't read the answers: past a limit, a client with more than its share unread gets no further
+ * values. For the event loop's thread alone.
  */
 final class UnreadAnswers {
-    /** Bytes of all clients from which on shares count; at most about twice as much is ever kept. */
-    private static final long MOST = 12L << 20;
+    /** Total of bytes from which on each client is held to its share; at most about twice as much is ever kept. */
+    private static final long SHARED_LIMIT_BYTES = 12L << 20;
 
-    private long inAll;
+    private long totalBytes;
 
-    /** A client has so many bytes more unread, or fewer if negative. */
+    /** Adds to the unread bytes of all clients; negative if a client has read some. */
     void add(long bytes) {
-        inAll += bytes;
+        totalBytes += bytes;
     }
 
     /**
-     * Whether a value may be kept for a client. One that has nothing unread always gets it, since it reads.
+     * Whether a value may be kept for a client. One with nothing unread always gets it, since it reads its answers.
      *
-     * @param unread bytes that this client has unread before it
-     * @param value bytes of the value
-     * @param clients how many there are
+     * @param unreadBytes bytes that this client already has unread
+     * @param valueBytes size of the value
+     * @param clientCount number of clients
      */
-    boolean hasRoom(long unread, long value, int clients) {
-        return unread == 0 || inAll + value <= MOST || unread + value <= MOST / Math.max(1, clients);
+    boolean hasRoom(long unreadBytes, long valueBytes, int clientCount) {
+        return unreadBytes == 0
+                || totalBytes + valueBytes <= SHARED_LIMIT_BYTES
+                || unreadBytes + valueBytes <= SHARED_LIMIT_BYTES / Math.max(1, clientCount);
     }
 }
--- a/router/src/main/java/stoatrill/net/package-info.java
+++ b/router/src/main/java/stoatrill/net/package-info.java
@@ -1,2 +1,2 @@
-/** The sockets: one thread, one selector, and the seams behind which the protocols sit. */
+/** The event loop: connections on one thread and one selector, and the interfaces that the protocols implement. */
 package stoatrill.net;
--- a/router/src/test/java/stoatrill/http/ResponseParserTest.java
+++ b/router/src/test/java/stoatrill/http/ResponseParserTest.java
@@ -15,21 +15,21 @@
 class ResponseParserTest {
     private final ResponseParser parser = new ResponseParser();
 
-    /** Feeds a response byte by byte; returns how it reads once it is whole. */
+    /** Feeds a response byte by byte; returns its description once it is complete. */
     private String read(String text) throws BadResponseException {
-        Response whole = null;
+        Response response = null;
         for (byte b : text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII)) {
-            assertNull(whole, "whole before its last byte");
-            whole = parser.parse(ByteBuffer.wrap(new byte[] {b}));
+            assertNull(response, "complete before its last byte");
+            response = parser.parse(ByteBuffer.wrap(new byte[] {b}));
         }
-        return told(whole);
+        return describe(response);
     }
 
-    private static String told(Response r) {
-        return r == null
+    private static String describe(Response response) {
+        return response == null
                 ? "more"
-                : r.status() + " " + new String(r.body(), StandardCharsets.US_ASCII)
-                        + (r.reusable() ? " again" : " once");
+                : response.status() + " " + new String(response.body(), StandardCharsets.US_ASCII)
+                        + (response.reusable() ? " again" : " once");
     }
 
     @ParameterizedTest
@@ -44,14 +44,14 @@
         "HTTP/1.1 100 Continue~~HTTP/1.1 200 OK~Content-Length: 1~~x, 200 x again",
         "HTTP/1.1 200 OK~Content-Length: 3~~ab, more",
     })
-    void responsesAreReadHoweverTheyAreCut(String text, String expected) throws BadResponseException {
+    void parsesResponsesFedByteByByte(String text, String expected) throws BadResponseException {
         assertEquals(expected, read(text));
     }
 
     @Test
-    void aBodyWithoutLengthEndsWithItsConnection() throws BadResponseException {
+    void bodyWithoutLengthEndsWhenConnectionCloses() throws BadResponseException {
         assertNull(parser.parse(ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\nabc".getBytes(StandardCharsets.US_ASCII))));
-        assertEquals("200 abc once", told(parser.end()));
+        assertEquals("200 abc once", describe(parser.end()));
     }
 
     @ParameterizedTest
@@ -62,7 +62,7 @@
         "HTTP/1.1 200 OK~Content-Length: 99999999999",
         "HTTP/1.1 200 OK~no colon"
     })
-    void whatBreaksTheProtocolIsSaid(String text) {
+    void rejectsMalformedResponses(String text) {
         assertThrows(
                 BadResponseException.class,
                 () -> parser.parse(
--- a/router/src/test/java/stoatrill/io/ConnectionTest.java
+++ b/router/src/test/java/stoatrill/io/ConnectionTest.java
@@ -20,30 +20,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What the calls on a connection come to, where the system makes them fail or the peer has gone. */
+/** Tests the outcomes of calls on a connection when the system makes them fail or the peer has gone. */
 @Timeout(60)
 class ConnectionTest {
-    private static final int INTERRUPTED = -3;
+    private static final int INTERRUPTED_CODE = -3;
 
-    /** What the next calls give in place of what the system says: a count, or an exception to throw. */
-    private final ArrayDeque<Object> script = new ArrayDeque<>();
+    /** Results of the next calls in place of those of the system: a count, or an exception to throw. */
+    private final ArrayDeque<Object> scriptedResults = new ArrayDeque<>();
 
-    private final List<SocketChannel> opened = new ArrayList<>();
-    private final SystemCalls scripted = new ForwardedCalls(SystemCalls.PLATFORM) {
+    private final List<SocketChannel> openedChannels = new ArrayList<>();
+    private final SystemCalls scriptedCalls = new ForwardingCalls(SystemCalls.PLATFORM) {
         @Override
         public int read(SocketChannel channel, ByteBuffer into) throws IOException {
-            return script.isEmpty() ? super.read(channel, into) : next();
+            return scriptedResults.isEmpty() ? super.read(channel, into) : nextScriptedResult();
         }
 
         @Override
         public int write(SocketChannel channel, ByteBuffer from) throws IOException {
-            return script.isEmpty() ? super.write(channel, from) : next();
+            return scriptedResults.isEmpty() ? super.write(channel, from) : nextScriptedResult();
         }
 
         @Override
-        public SocketChannel open() throws IOException {
-            SocketChannel channel = super.open();
-            opened.add(channel);
+        public SocketChannel openSocket() throws IOException {
+            SocketChannel channel = super.openSocket();
+            openedChannels.add(channel);
             return channel;
         }
     };
@@ -52,18 +52,18 @@
     private Connection connection;
     private SocketChannel peer;
 
-    private int next() throws IOException {
-        Object next = script.poll();
-        if (next instanceof IOException failure) {
+    private int nextScriptedResult() throws IOException {
+        Object result = scriptedResults.poll();
+        if (result instanceof IOException failure) {
             throw failure;
         }
-        return (int) next;
+        return (int) result;
     }
 
     @BeforeEach
     void connect() throws IOException {
         listener = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        poller = new Poller(scripted);
+        poller = new Poller(scriptedCalls);
         connection = poller.connect((InetSocketAddress) listener.getLocalAddress(), this)
                 .value();
         peer = listener.accept();
@@ -85,42 +85,42 @@
     }
 
     @Test
-    void anInterruptedReadIsNoEnd() throws IOException {
+    void interruptedReadIsNotEndOfStream() throws IOException {
         peer.write(ByteBuffer.wrap(new byte[3]));
         poller.select(1000);
-        script.add(INTERRUPTED);
+        scriptedResults.add(INTERRUPTED_CODE);
         assertEquals(3, connection.read(ByteBuffer.allocate(16)).bytes());
         for (int n = 0; n < 100; n++) {
-            script.add(INTERRUPTED);
+            scriptedResults.add(INTERRUPTED_CODE);
         }
-        assertEquals(Outcome.NO_RESOURCE, read(), "interrupted for ever: ask again later");
-        script.clear();
+        assertEquals(Outcome.NO_RESOURCE, read(), "interrupted every time: retry later");
+        scriptedResults.clear();
         assertEquals(Outcome.NOTHING_NOW, read());
     }
 
     @Test
-    void anInterruptedWriteWritesNothingAndIsMadeAgain() {
-        script.add(INTERRUPTED);
+    void interruptedWriteIsRetried() {
+        scriptedResults.add(INTERRUPTED_CODE);
         assertEquals(5, connection.write(ByteBuffer.wrap(new byte[5])).bytes());
         for (int n = 0; n < 100; n++) {
-            script.add(INTERRUPTED);
+            scriptedResults.add(INTERRUPTED_CODE);
         }
         IoResult result = connection.write(ByteBuffer.wrap(new byte[5]));
         assertEquals(new IoResult(Outcome.NO_RESOURCE, 0, "interrupted"), result);
     }
 
     @Test
-    void oneFailureIsNotTakenForTheEnd() throws IOException {
-        for (String said : List.of("Cannot allocate memory", "No buffer space available", "Input/output error")) {
-            script.add(new IOException(said));
-            assertEquals(Outcome.NOTHING_NOW, read(), said);
+    void singleFailureDoesNotBreakConnection() throws IOException {
+        for (String message : List.of("Cannot allocate memory", "No buffer space available", "Input/output error")) {
+            scriptedResults.add(new IOException(message));
+            assertEquals(Outcome.NOTHING_NOW, read(), message);
         }
-        script.add(new IOException("Broken pipe"));
+        scriptedResults.add(new IOException("Broken pipe"));
         assertEquals(5, connection.write(ByteBuffer.wrap(new byte[5])).bytes());
     }
 
     @Test
-    void theEndIsToldOnceThePeerHasSaidAll() throws IOException {
+    void reportsEndOfStreamAfterAllData() throws IOException {
         peer.write(ByteBuffer.wrap(new byte[3]));
         peer.close();
         poller.select(1000);
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aResetIsNoEndInOrder() throws IOException {
+    void resetIsNotEndOfStream() throws IOException {
         peer.setOption(StandardSocketOptions.SO_LINGER, 0);
         peer.close();
         while (read() == Outcome.NOTHING_NOW) {
@@ -141,55 +141,55 @@
     }
 
     @Test
-    void theEndBehindAnErrorIsBroken() {
-        script.add(new IOException("Connection timed out"));
-        script.add(-1);
+    void endOfStreamAfterErrorIsBroken() {
+        scriptedResults.add(new IOException("Connection timed out"));
+        scriptedResults.add(-1);
         assertEquals(Outcome.BROKEN, read());
     }
 
     @Test
-    void whatIsClosedIsFatal() {
+    void readAfterCloseIsFatal() {
         connection.close();
         assertEquals(Outcome.FATAL, read());
-        assertFalse(connection.quiet());
+        assertFalse(connection.isQuiet());
     }
 
     @Test
-    void aConnectionIsQuietOnlyIfThatIsCertain() throws IOException {
-        assertTrue(connection.quiet());
+    void isQuietOnlyWhenCertain() throws IOException {
+        assertTrue(connection.isQuiet());
         for (int n = 0; n < 100; n++) {
-            script.add(INTERRUPTED);
+            scriptedResults.add(INTERRUPTED_CODE);
         }
-        assertFalse(connection.quiet());
-        script.clear();
+        assertFalse(connection.isQuiet());
+        scriptedResults.clear();
         peer.write(ByteBuffer.wrap(new byte[1]));
         poller.select(1000);
-        assertFalse(connection.quiet());
+        assertFalse(connection.isQuiet());
     }
 
-    /** The system takes no registration for a while: what comes in is told all the same, once it takes them again. */
+    /** The system loses a registration: incoming data is still reported, once the registration has been restored. */
     @Test
-    void aRegistrationThatTheSystemLostIsMadeAgain() throws IOException {
-        connection.interest(SelectionKey.OP_CONNECT, false);
-        connection.interest(SelectionKey.OP_READ, true);
-        long repairs = poller.repairs();
-        while (poller.repairs() == repairs) {
-            poller.found().clear(); // whoever owns it is not told
+    void lostRegistrationIsRestored() throws IOException {
+        connection.setInterest(SelectionKey.OP_CONNECT, false);
+        connection.setInterest(SelectionKey.OP_READ, true);
+        long repairsBefore = poller.repairCount();
+        while (poller.repairCount() == repairsBefore) {
+            poller.selectedKeys().clear(); // the owner is not notified
             poller.select(1);
         }
         peer.write(ByteBuffer.wrap(new byte[1]));
         while (!connection.isReadable()) {
-            poller.found().clear();
+            poller.selectedKeys().clear();
             poller.select(10);
         }
-        connection.found();
+        connection.confirmRegistration();
         assertEquals(Outcome.PROGRESS, read());
     }
 
     @Test
-    void everyConnectionSendsSmallWritesAtOnceAndNeverBlocks() throws IOException {
+    void connectionsAreNonBlockingWithoutSendDelay() throws IOException {
         Connection adopted = poller.adopt(peer, this).value();
-        for (SocketChannel channel : List.of(opened.get(0), peer)) {
+        for (SocketChannel channel : List.of(openedChannels.get(0), peer)) {
             assertTrue(channel.getOption(StandardSocketOptions.TCP_NODELAY));
             assertFalse(channel.isBlocking());
         }
--- a/router/src/test/java/stoatrill/net/CancelKeysTest.java
+++ b/router/src/test/java/stoatrill/net/CancelKeysTest.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import stoatrill.io.FileReader;
-import stoatrill.io.ForwardedCalls;
+import stoatrill.io.ForwardingCalls;
 import stoatrill.io.SystemCalls;
 
 class CancelKeysTest {
-    /** The vector of the paper for eight bytes 00 to 07 under the key 00 to 0f. */
+    /** The test vector of the SipHash paper for the eight bytes 00 to 07 under the key 00 to 0f. */
     @Test
-    void theHashIsThatOfThePaper() {
+    void hashMatchesPublishedTestVector() {
         byte[] secret = new byte[16];
         for (int i = 0; i < secret.length; i++) {
             secret[i] = (byte) i;
@@ -24,24 +24,24 @@
     }
 
     @Test
-    void noKeyIsInUseTwiceOrZeroAndProcessesDiffer() {
+    void keysAreUniqueNonZeroAndDifferBetweenProcesses() {
         FileReader files = new FileReader(SystemCalls.PLATFORM);
         CancelKeys keys = new CancelKeys(files);
-        Set<Long> drawn = new HashSet<>();
+        Set<Long> usedKeys = new HashSet<>();
         for (int i = 0; i < 1000; i++) {
-            long key = keys.next(drawn::contains);
+            long key = keys.nextKey(usedKeys::contains);
             assertNotEquals(0, key);
-            drawn.add(key);
+            usedKeys.add(key);
         }
-        assertEquals(1000, drawn.size());
+        assertEquals(1000, usedKeys.size());
         assertNotEquals(new CancelKeys(files).hash(1), keys.hash(1));
     }
 
     @Test
-    void aSourceThatCanNotBeReadLeavesKeysThatDiffer() {
-        FileReader files = new FileReader(new ForwardedCalls(SystemCalls.PLATFORM) {
+    void keysDifferWhenRandomSourceIsUnreadable() {
+        FileReader files = new FileReader(new ForwardingCalls(SystemCalls.PLATFORM) {
             @Override
-            public byte[] readFirst(Path file, int bytes) throws IOException {
+            public byte[] readFirstBytes(Path file, int bytes) throws IOException {
                 throw new IOException("Input/output error");
             }
         });
