--- a/router/src/test/java/stoatrill/net/ClosingMomentsTest.java
+++ b/router/src/test/java/stoatrill/net/ClosingMomentsTest.java
@@ -29,258 +29,264 @@
 import org.junit.jupiter.api.Timeout;
 import stoatrill.config.Config;
 import stoatrill.core.Answer;
-import stoatrill.io.ForwardedCalls;
+import stoatrill.io.ForwardingCalls;
 import stoatrill.io.SystemCalls;
 import stoatrill.pg.PgClient;
 import stoatrill.pg.PgServer;
 import stoatrill.scenario.Scenario;
 
 /**
- * Bytes that come in the very moment in which a connection ends, over real connections to an event loop that the test
- * can hold for as long as it takes: one of its clients' protocols waits, in the loop's thread, until it is let go.
+ * Tests bytes that arrive at the very moment at which a connection closes, over real connections. The test can block
+ * the event loop for as long as it needs: the protocol of one client waits, in the loop's thread, until it is released.
  */
 @Timeout(60)
 class ClosingMomentsTest {
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
     private static final String HOLD = "SELECT 'hold'";
     private static final String READ = "SELECT v FROM records WHERE k = 'a1' /* id=%s,c=archive,d=4000,cluster=0 */";
-    private static final int INTERRUPTED = -3;
-    private static final int MORE_THAN_ARE_REPEATED = 40;
-    private static final int ANSWERS = 300;
-    private static final int SMALL_BUFFER = 4096;
-    private static final int MORE_THAN_IS_READ_AHEAD = 4 << 20;
+    private static final int INTERRUPTED_CODE = -3;
+    /** More interruptions than one read retries at once. */
+    private static final int INTERRUPTION_COUNT = 40;
+
+    private static final int ANSWER_COUNT = 300;
+    private static final int RECEIVE_BUFFER_BYTES = 4096;
+    /** More than the event loop reads ahead from a client. */
+    private static final int EXCESS_BYTES = 4 << 20;
+
     private static final String LIST_WITHOUT_LENGTH = "HTTP/1.1 200 OK\r\n\r\n{\"rev\":9,\"all\":true,\"targets\":["
             + "{\"uid\":\"r2\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"south\",\"pod_group\":0,\"state\":\"Ready\"}]}";
-    /** The longest give-up time of the classes played with, and with it the span of a shutdown. */
+    /** The longest give-up time of the classes in this test, which determines the duration of a shutdown. */
     private static final long GIVE_UP_NANOS = 500_000_000L;
 
     private static final long SHUTDOWN_NANOS = GIVE_UP_NANOS + 500_000_000L;
 
-    private final List<Closeable> open = new ArrayList<>();
-    private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Socket> callers = new LinkedBlockingQueue<>();
-    private final CountDownLatch held = new CountDownLatch(1);
-    private final CountDownLatch letGo = new CountDownLatch(1);
+    private final List<Closeable> openResources = new ArrayList<>();
+    private final BlockingQueue<String> requestIds = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> discoveryVersions = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Socket> discoverySockets = new LinkedBlockingQueue<>();
+    private final CountDownLatch loopHeld = new CountDownLatch(1);
+    private final CountDownLatch loopReleased = new CountDownLatch(1);
     private SystemCalls calls = SystemCalls.PLATFORM;
     private EventLoop loop;
-    private Thread runs;
+    private Thread loopThread;
     private int port;
 
     private void start() throws Exception {
-        int server = listen(this::serve);
-        int discovery = listen(this::discover);
+        int serverPort = listen(this::recordRequests);
+        int discoveryPort = listen(this::recordDiscoveryCalls);
         String text = Scenario.config()
-                .replace("\"discovery\": \"127.0.0.1:9\"", "\"discovery\": \"127.0.0.1:" + discovery + "\"")
-                .replace("\"endpoint\": \"127.0.0.1:9\"", "\"endpoint\": \"127.0.0.1:" + server + "\"")
+                .replace("\"discovery\": \"127.0.0.1:9\"", "\"discovery\": \"127.0.0.1:" + discoveryPort + "\"")
+                .replace("\"endpoint\": \"127.0.0.1:9\"", "\"endpoint\": \"127.0.0.1:" + serverPort + "\"")
                 .replace("\"giveUp\": 3000000000", "\"giveUp\": " + GIVE_UP_NANOS)
                 .replace("\"giveUp\": 600000000", "\"giveUp\": " + GIVE_UP_NANOS);
-        loop = new EventLoop(Config.parse(text, Map.of()), peer -> new Held(new PgClient(peer)), PgServer::new, calls);
+        loop = new EventLoop(
+                Config.parse(text, Map.of()), peer -> new HoldingProtocol(new PgClient(peer)), PgServer::new, calls);
         port = loop.address().getPort();
-        runs = background(() -> loop.run());
+        loopThread = runInBackground(() -> loop.run());
     }
 
     @AfterEach
-    void end() throws Exception {
-        letGo.countDown();
-        for (Closeable c : open) {
-            c.close();
+    void closeAll() throws Exception {
+        loopReleased.countDown();
+        for (Closeable resource : openResources) {
+            resource.close();
         }
         if (loop != null) {
             loop.stop();
-            runs.join(PATIENCE_MILLIS);
+            loopThread.join(TIMEOUT_MILLIS);
         }
     }
 
-    /** A client's protocol that stops the loop once {@link #HOLD} comes in, until the test lets it go. */
-    private final class Held implements ClientProtocol {
-        private final ClientProtocol of;
+    /** A client protocol that blocks the loop once {@link #HOLD} is received, until the test releases it. */
+    private final class HoldingProtocol implements ClientProtocol {
+        private final ClientProtocol delegate;
 
-        Held(ClientProtocol of) {
-            this.of = of;
+        HoldingProtocol(ClientProtocol delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public void received(ByteBuffer bytes) {
             if (StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString().contains(HOLD)) {
-                held.countDown();
+                loopHeld.countDown();
                 try {
-                    letGo.await();
+                    loopReleased.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             }
-            of.received(bytes);
+            delegate.received(bytes);
         }
 
         @Override
         public void proceed() {
-            of.proceed();
+            delegate.proceed();
         }
 
         @Override
         public void cancel() {
-            of.cancel();
+            delegate.cancel();
         }
 
         @Override
         public void answer(long slot, Answer answer) {
-            of.answer(slot, answer);
+            delegate.answer(slot, answer);
         }
 
         @Override
         public void ready() {
-            of.ready();
+            delegate.ready();
         }
 
         @Override
         public long commands() {
-            return of.commands();
+            return delegate.commands();
         }
 
         @Override
         public int waiting() {
-            return of.waiting();
+            return delegate.waiting();
         }
 
         @Override
         public boolean isNext(long slot) {
-            return of.isNext(slot);
+            return delegate.isNext(slot);
         }
 
         @Override
         public long unwritten() {
-            return of.unwritten();
+            return delegate.unwritten();
         }
 
         @Override
         public int held() {
-            return of.held();
+            return delegate.held();
         }
 
         @Override
         public boolean congested() {
-            return of.congested();
+            return delegate.congested();
         }
 
         @Override
         public void turnAway() {
-            of.turnAway();
+            delegate.turnAway();
         }
 
         @Override
         public void abandon() {
-            of.abandon();
+            delegate.abandon();
         }
 
         @Override
         public void expire() {
-            of.expire();
+            delegate.expire();
         }
     }
 
-    // ---- The moments ----
-
-    /** The bytes of an answer of discovery that has no length end with its connection. */
+    /** A discovery response without a length ends when its connection closes. */
     @Test
-    void anAnswerWithoutLengthIsWholeWhereItsConnectionEnds() throws Exception {
-        assertEquals("from=9", versionHeldAfterAnAnswerWithoutLength(false));
+    void listWithoutLengthIsCompleteWhenConnectionCloses() throws Exception {
+        assertEquals("from=9", versionAfterListWithoutLength(false));
     }
 
-    /** Reads in the middle of an answer without length are interrupted: they end neither it nor its connection. */
+    /** Interrupted reads in the middle of a response without a length end neither the response nor its connection. */
     @Test
-    void anInterruptedReadIsNoEndOfAnAnswerWithoutLength() throws Exception {
+    void interruptedReadDoesNotEndListWithoutLength() throws Exception {
         AtomicInteger interrupted = new AtomicInteger();
-        calls = new ForwardedCalls(SystemCalls.PLATFORM) {
+        calls = new ForwardingCalls(SystemCalls.PLATFORM) {
             @Override
             public int read(SocketChannel channel, ByteBuffer into) throws IOException {
-                return interrupted.getAndUpdate(n -> Math.max(0, n - 1)) > 0 ? INTERRUPTED : super.read(channel, into);
+                return interrupted.getAndUpdate(n -> Math.max(0, n - 1)) > 0
+                        ? INTERRUPTED_CODE
+                        : super.read(channel, into);
             }
         };
         start();
-        assertEquals("from=5", await(asked));
+        assertEquals("from=5", await(discoveryVersions));
         int half = LIST_WITHOUT_LENGTH.length() / 2;
-        try (Socket discovery = await(callers)) {
+        try (Socket discovery = await(discoverySockets)) {
             for (String part : List.of(LIST_WITHOUT_LENGTH.substring(0, half), LIST_WITHOUT_LENGTH.substring(half))) {
-                interrupted.set(MORE_THAN_ARE_REPEATED);
+                interrupted.set(INTERRUPTION_COUNT);
                 discovery.getOutputStream().write(part.getBytes(StandardCharsets.US_ASCII));
                 while (interrupted.get() > 0) {
                     LockSupport.parkNanos(1_000_000L);
                 }
             }
         }
-        assertEquals("from=9", await(asked));
+        assertEquals("from=9", await(discoveryVersions));
     }
 
-    /** What the next call says of the version held, after a list whose connection ends in order or by a reset. */
-    private String versionHeldAfterAnAnswerWithoutLength(boolean reset) throws Exception {
+    /** Returns the version in the next discovery call, after a list whose connection ends in order or by a reset. */
+    private String versionAfterListWithoutLength(boolean reset) throws Exception {
         start();
-        assertEquals("from=5", await(asked));
-        try (Socket discovery = await(callers)) {
+        assertEquals("from=5", await(discoveryVersions));
+        try (Socket discovery = await(discoverySockets)) {
             discovery.getOutputStream().write(LIST_WITHOUT_LENGTH.getBytes(StandardCharsets.US_ASCII));
             discovery.setSoLinger(reset, 0);
         }
-        return await(asked);
+        return await(discoveryVersions);
     }
 
-    /** The answer to another client's request keeps the loop up while the first one writes after its half-close. */
+    /** The loop keeps running for another client's open request while an idle client writes after its half-close. */
     @Test
-    void aRequestThatIsReadAfterTheShutdownIsSentToNobody() throws Exception {
+    void requestAfterHalfCloseIsNotForwarded() throws Exception {
         start();
-        Client rests = new Client();
-        Client waits = new Client();
-        waits.ask("waits");
-        assertEquals("waits", await(requests));
+        Client idle = new Client();
+        Client waiting = new Client();
+        waiting.sendRead("waits");
+        assertEquals("waits", await(requestIds));
         loop.stop();
-        assertEquals(-1, rests.in.read(), "a resting connection is half-closed");
-        rests.ask("afterwards");
-        assertEquals("58000", waits.answer(), "what was out is failed at the end");
-        waits.socket.close();
-        runs.join(PATIENCE_MILLIS);
-        assertFalse(runs.isAlive(), "the loop has ended");
-        assertFalse(requests.contains("afterwards"), "a request read after the shutdown was sent on");
+        assertEquals(-1, idle.in.read(), "an idle connection is half-closed");
+        idle.sendRead("afterwards");
+        assertEquals("58000", waiting.readAnswer(), "an open request fails at the end");
+        waiting.socket.close();
+        loopThread.join(TIMEOUT_MILLIS);
+        assertFalse(loopThread.isAlive(), "the loop has ended");
+        assertFalse(requestIds.contains("afterwards"), "a request read after the shutdown was sent on");
     }
 
-    /** The loop is held until the shutdown is over but for its last look, which finds a resting client's request. */
+    /** The loop is blocked until only the last check of the shutdown remains, which finds an idle client's request. */
     @Test
-    void aRequestOnARestingConnectionInTheMomentOfItsEndGetsItsAnswer() throws Exception {
+    void lastRequestOnIdleConnectionIsAnsweredAtShutdown() throws Exception {
         start();
-        Client rests = new Client();
-        Client holds = new Client();
-        long stopped = System.nanoTime();
+        Client idle = new Client();
+        Client blocking = new Client();
+        long stoppedAt = System.nanoTime();
         loop.stop();
-        holds.write(query(HOLD));
-        held.await();
-        rests.ask("last");
-        while (System.nanoTime() - stopped < SHUTDOWN_NANOS) {
+        blocking.write(query(HOLD));
+        loopHeld.await();
+        idle.sendRead("last");
+        while (System.nanoTime() - stoppedAt < SHUTDOWN_NANOS) {
             LockSupport.parkNanos(1_000_000L);
         }
-        letGo.countDown();
-        String answer = rests.answer();
+        loopReleased.countDown();
+        String answer = idle.readAnswer();
         assertTrue(List.of("53300", "58000").contains(answer), answer);
-        assertEquals(-1, rests.in.read(), "an orderly end follows the answer");
+        assertEquals(-1, idle.in.read(), "an orderly end follows the answer");
     }
 
     /**
-     * Answers still lie in the system's send buffer, since the client's receive buffer is small and unread, while more
-     * comes in behind the message that ends the connection than is read ahead: a close would reset it and lose them.
+     * Answers are still in the system's send buffer, since the client's receive buffer is small and unread, while more
+     * input than is read ahead follows the message that ends the connection. An immediate close would reset the
+     * connection and lose the answers.
      */
     @Test
-    void theLastAnswersAreNotLostToAResetByBytesThatWereStillToBeRead() throws Exception {
+    void lastAnswersSurviveUnreadInputAtClose() throws Exception {
         start();
         Client client = new Client();
-        Thread sends = background(() -> {
-            for (int n = 0; n < ANSWERS; n++) {
+        Thread sender = runInBackground(() -> {
+            for (int n = 0; n < ANSWER_COUNT; n++) {
                 client.write(query("SELECT 1"));
             }
             client.write(new byte[] {'Q', 0, 0, 0, 2}); // shorter than its own length
-            client.write(new byte[MORE_THAN_IS_READ_AHEAD]);
+            client.write(new byte[EXCESS_BYTES]);
         });
-        sends.join(PATIENCE_MILLIS);
-        for (int n = 0; n < ANSWERS; n++) {
-            assertEquals("42601", client.answer());
+        sender.join(TIMEOUT_MILLIS);
+        for (int n = 0; n < ANSWER_COUNT; n++) {
+            assertEquals("42601", client.readAnswer());
         }
-        assertEquals("08P01", client.answer());
+        assertEquals("08P01", client.readAnswer());
         assertEquals(-1, client.in.read(), "an orderly end follows the answer");
     }
 
@@ -290,41 +296,41 @@
         private final Socket socket;
         private final DataInputStream in;
 
-        /** A client that has connected and is welcomed. */
+        /** Connects a client and completes its startup. */
         Client() throws IOException {
             socket = new Socket();
-            socket.setReceiveBufferSize(SMALL_BUFFER);
+            socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            socket.setSoTimeout(PATIENCE_MILLIS);
-            open.add(socket);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
+            openResources.add(socket);
             in = new DataInputStream(socket.getInputStream());
             write(ByteBuffer.allocate(32)
                     .putInt(32)
                     .putInt(196608)
                     .put("user\0svc\0database\0main\0\0".getBytes(StandardCharsets.US_ASCII))
                     .array());
-            assertEquals("ready", answer());
+            assertEquals("ready", readAnswer());
         }
 
         void write(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
         }
 
-        void ask(String id) throws IOException {
+        void sendRead(String id) throws IOException {
             write(query(READ.formatted(id)));
         }
 
-        /** The SQLSTATE of an error, or "ready" where none came. */
-        String answer() throws IOException {
-            String said = "ready";
+        /** Returns the SQLSTATE of an error, or "ready" if there was none. */
+        String readAnswer() throws IOException {
+            String sqlState = "ready";
             while (true) {
                 int type = in.readByte();
                 String body = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.ISO_8859_1);
                 if (type == 'E') {
-                    said = body.substring(body.indexOf("\0C") + 2, body.indexOf("\0M"));
+                    sqlState = body.substring(body.indexOf("\0C") + 2, body.indexOf("\0M"));
                 }
                 if (type == 'Z' || body.startsWith("SFATAL")) {
-                    return said;
+                    return sqlState;
                 }
             }
         }
@@ -332,36 +338,36 @@
 
     // ---- Peers ----
 
-    private interface Work<T> {
-        void on(T what) throws IOException;
+    private interface SocketHandler<T> {
+        void handle(T subject) throws IOException;
     }
 
     private interface Task {
         void run() throws IOException;
     }
 
-    private static <T> T await(BlockingQueue<T> of) throws InterruptedException {
-        return of.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    private static <T> T await(BlockingQueue<T> queue) throws InterruptedException {
+        return queue.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private int listen(Work<Socket> peer) throws IOException {
+    private int listen(SocketHandler<Socket> handler) throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        open.add(listener);
-        background(() -> {
+        openResources.add(listener);
+        runInBackground(() -> {
             while (true) {
                 Socket socket = listener.accept();
-                background(() -> peer.on(socket));
+                runInBackground(() -> handler.handle(socket));
             }
         });
         return listener.getLocalPort();
     }
 
-    private static Thread background(Task task) {
+    private static Thread runInBackground(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (IOException | UncheckedIOException e) {
-                // the connection has ended, as all do at the end of a test
+                // the connection has closed, as all do at the end of a test
             }
         });
         thread.setDaemon(true);
@@ -369,27 +375,27 @@
         return thread;
     }
 
-    /** A server that takes requests and never answers one. */
-    private void serve(Socket socket) throws IOException {
+    /** Serves as a server that takes requests and never answers. */
+    private void recordRequests(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         in.readNBytes(in.readInt() - 4);
         socket.getOutputStream().write(new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'});
         while (in.readByte() == 'Q') {
             String text = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8);
-            requests.add(text.substring(text.indexOf("id=") + 3, text.indexOf(",c=")));
+            requestIds.add(text.substring(text.indexOf("id=") + 3, text.indexOf(",c=")));
         }
     }
 
-    /** A discovery whose calls the test answers. */
-    private void discover(Socket socket) throws IOException {
+    /** Serves as a discovery service whose calls the test answers. */
+    private void recordDiscoveryCalls(Socket socket) throws IOException {
         StringBuilder text = new StringBuilder();
         for (int next = socket.getInputStream().read();
                 next >= 0;
                 next = socket.getInputStream().read()) {
             text.append((char) next);
             if (text.toString().endsWith("\r\n\r\n")) {
-                callers.add(socket);
-                asked.add(text.toString().replaceFirst("(?s).*(from=\\d+).*", "$1"));
+                discoverySockets.add(socket);
+                discoveryVersions.add(text.toString().replaceFirst("(?s).*(from=\\d+).*", "$1"));
                 text.setLength(0);
             }
         }
--- a/router/src/test/java/stoatrill/net/EachCallFailsTest.java
+++ b/router/src/test/java/stoatrill/net/EachCallFailsTest.java
@@ -31,32 +31,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import stoatrill.config.Config;
-import stoatrill.io.ForwardedCalls;
+import stoatrill.io.ForwardingCalls;
 import stoatrill.io.SystemCalls;
 import stoatrill.pg.PgClient;
 import stoatrill.pg.PgServer;
 import stoatrill.scenario.Scenario;
 
 /**
- * A scripted conversation of one client, over real connections, is played once for each call that it makes and each way
- * in which that call can fail: the k-th call of a kind fails once, or several times in a row. Every request gets its
- * one answer, no upload runs twice, and the loop goes on to its orderly end.
+ * Plays a scripted conversation of one client over real connections once for each system call that it makes and each
+ * way in which that call can fail: the k-th call of a kind fails once, or several times in a row. Every request must
+ * get exactly one answer, no upload may run twice, and the loop must reach its orderly end.
  */
 @Timeout(300)
 class EachCallFailsTest {
-    private static final int PATIENCE_MILLIS = 20_000;
-    /** Plays that go on beside each other; they mostly wait. */
-    private static final int AT_ONCE = 16;
+    private static final int TIMEOUT_MILLIS = 20_000;
+    /** Plays that run in parallel; they mostly wait. */
+    private static final int PARALLEL_PLAY_COUNT = 16;
 
-    private static final int INTERRUPTED = -3;
-    /** Calls of a kind that are made to fail in turn; the conversation makes about as many of each. */
-    private static final int MOST_CALLS = 12;
+    private static final int INTERRUPTED_CODE = -3;
+    /** Highest call of a kind that is made to fail; the conversation makes about this many of each kind. */
+    private static final int CALL_LIMIT = 12;
 
     private static final String READ = "SELECT v FROM records WHERE k = 'a1' /* id=%s,c=archive,d=4000,cluster=0 */";
     private static final String WRITE =
             "INSERT INTO records (k, v) VALUES ('a1', '\\x01') RETURNING v /* id=%s,c=upload,d=4000,cluster=0 */";
 
-    /** The calls of the seam. */
+    /** The kinds of calls of {@link SystemCalls} that are made to fail, with the messages of their failures. */
     private enum Kind {
         READ("interrupted", "Cannot allocate memory", "Input/output error"),
         WRITE("interrupted", "No buffer space available", "Cannot allocate memory", "Input/output error"),
@@ -69,7 +69,7 @@
         CLOSE("Input/output error"),
         SELECT("Interrupted system call", "Invalid argument");
 
-        @SuppressWarnings("ImmutableEnumChecker") // made by List.of, which nothing changes
+        @SuppressWarnings("ImmutableEnumChecker") // List.of is immutable
         private final List<String> failures;
 
         Kind(String... failures) {
@@ -77,33 +77,33 @@
         }
     }
 
-    /** Fails some calls of one kind, from the k-th on. Used by the loop's thread, and read after its end. */
-    private static final class FailingCalls extends ForwardedCalls {
+    /** Fails some calls of one kind, from the k-th on. Used by the loop's thread, and read after that has ended. */
+    private static final class FailingCalls extends ForwardingCalls {
         private final Kind kind;
-        private final int first;
-        private final int inARow;
+        private final int firstFailingCall;
+        private final int consecutiveFailures;
         private final String failure;
-        private int made;
-        private int failed;
+        private int callCount;
+        private int failedCount;
 
-        FailingCalls(Kind kind, int first, int inARow, String failure) {
+        FailingCalls(Kind kind, int firstFailingCall, int consecutiveFailures, String failure) {
             super(SystemCalls.PLATFORM);
             this.kind = kind;
-            this.first = first;
-            this.inARow = inARow;
+            this.firstFailingCall = firstFailingCall;
+            this.consecutiveFailures = consecutiveFailures;
             this.failure = failure;
         }
 
-        /** Whether this call is interrupted; throws where it fails otherwise. */
-        private boolean fails(Kind call) throws IOException {
+        /** Whether this call is to be interrupted; throws if it is to fail in another way. */
+        private boolean failsNow(Kind call) throws IOException {
             if (call != kind) {
                 return false;
             }
-            made++;
-            if (made < first || made >= first + inARow) {
+            callCount++;
+            if (callCount < firstFailingCall || callCount >= firstFailingCall + consecutiveFailures) {
                 return false;
             }
-            failed++;
+            failedCount++;
             if (!failure.equals("interrupted")) {
                 throw new IOException(failure);
             }
@@ -111,161 +111,163 @@
         }
 
         @Override
-        public int read(SocketChannel channel, ByteBuffer into) throws IOException {
-            return fails(Kind.READ) ? INTERRUPTED : super.read(channel, into);
+        public int read(SocketChannel channel, ByteBuffer target) throws IOException {
+            return failsNow(Kind.READ) ? INTERRUPTED_CODE : super.read(channel, target);
         }
 
         @Override
-        public int write(SocketChannel channel, ByteBuffer from) throws IOException {
-            return fails(Kind.WRITE) ? INTERRUPTED : super.write(channel, from);
+        public int write(SocketChannel channel, ByteBuffer source) throws IOException {
+            return failsNow(Kind.WRITE) ? INTERRUPTED_CODE : super.write(channel, source);
         }
 
         @Override
         public SocketChannel accept(ServerSocketChannel listener) throws IOException {
-            return fails(Kind.ACCEPT) ? null : super.accept(listener);
+            return failsNow(Kind.ACCEPT) ? null : super.accept(listener);
         }
 
         @Override
-        public SocketChannel open() throws IOException {
-            fails(Kind.OPEN);
-            return super.open();
+        public SocketChannel openSocket() throws IOException {
+            failsNow(Kind.OPEN);
+            return super.openSocket();
         }
 
         @Override
-        public void sendAtOnce(SocketChannel channel) throws IOException {
-            fails(Kind.OPTION);
-            super.sendAtOnce(channel);
+        public void disableSendDelay(SocketChannel channel) throws IOException {
+            failsNow(Kind.OPTION);
+            super.disableSendDelay(channel);
         }
 
         @Override
-        public boolean connect(SocketChannel channel, InetSocketAddress to) throws IOException {
-            fails(Kind.CONNECT);
-            return super.connect(channel, to);
+        public boolean connect(SocketChannel channel, InetSocketAddress address) throws IOException {
+            failsNow(Kind.CONNECT);
+            return super.connect(channel, address);
         }
 
         @Override
         public boolean finishConnect(SocketChannel channel) throws IOException {
-            fails(Kind.FINISH_CONNECT);
+            failsNow(Kind.FINISH_CONNECT);
             return super.finishConnect(channel);
         }
 
         @Override
-        public void endSending(SocketChannel channel) throws IOException {
-            fails(Kind.END_SENDING);
-            super.endSending(channel);
+        public void shutdownOutput(SocketChannel channel) throws IOException {
+            failsNow(Kind.END_SENDING);
+            super.shutdownOutput(channel);
         }
 
         @Override
         public void close(SocketChannel channel) throws IOException {
             super.close(channel);
-            fails(Kind.CLOSE);
+            failsNow(Kind.CLOSE);
         }
 
         @Override
-        public int select(Selector selector, long millis) throws IOException {
-            fails(Kind.SELECT);
-            return super.select(selector, millis);
+        public int select(Selector selector, long timeoutMillis) throws IOException {
+            failsNow(Kind.SELECT);
+            return super.select(selector, timeoutMillis);
         }
     }
 
     @Test
-    void everyCallFailsInEveryWay() throws Exception {
-        Map<Kind, int[]> table = new EnumMap<>(Kind.class);
+    void everyRequestIsAnsweredWhicheverCallFails() throws Exception {
+        Map<Kind, int[]> countsByKind = new EnumMap<>(Kind.class);
         Map<Kind, List<Future<int[]>>> plays = new EnumMap<>(Kind.class);
-        ExecutorService players = Executors.newFixedThreadPool(AT_ONCE);
+        ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_PLAY_COUNT);
         try {
             for (Kind kind : Kind.values()) {
                 for (String failure : kind.failures) {
-                    for (int inARow : List.of(1, 3)) {
+                    for (int consecutiveFailures : List.of(1, 3)) {
                         plays.computeIfAbsent(kind, k -> new ArrayList<>())
-                                .add(players.submit(() -> playEach(kind, failure, inARow)));
+                                .add(executor.submit(() -> playEach(kind, failure, consecutiveFailures)));
                     }
                 }
             }
-            for (Map.Entry<Kind, List<Future<int[]>>> ofKind : plays.entrySet()) {
-                int[] counts = table.computeIfAbsent(ofKind.getKey(), k -> new int[2]);
-                for (Future<int[]> played : ofKind.getValue()) {
+            for (Map.Entry<Kind, List<Future<int[]>>> entry : plays.entrySet()) {
+                int[] counts = countsByKind.computeIfAbsent(entry.getKey(), k -> new int[2]);
+                for (Future<int[]> played : entry.getValue()) {
                     counts[0] += played.get()[0];
                     counts[1] += played.get()[1];
                 }
             }
         } finally {
-            players.shutdownNow();
+            executor.shutdownNow();
         }
-        table.forEach((kind, counts) ->
+        countsByKind.forEach((kind, counts) ->
                 System.out.println("each call fails: " + kind + " plays " + counts[0] + " calls failed " + counts[1]));
-        table.forEach((kind, counts) -> assertTrue(counts[1] > 0, kind + " was never made to fail"));
+        countsByKind.forEach((kind, counts) -> assertTrue(counts[1] > 0, kind + " was never made to fail"));
     }
 
-    /** Lets each call of a kind fail in turn, until there is none; returns the plays and the calls that failed. */
-    private static int[] playEach(Kind kind, String failure, int inARow) throws Exception {
+    /** Makes each call of a kind fail in turn, until there is none; returns the counts of plays and failed calls. */
+    private static int[] playEach(Kind kind, String failure, int consecutiveFailures) throws Exception {
         int[] counts = new int[2];
         int failed = 1;
-        for (int first = 1; failed > 0 && first <= MOST_CALLS; first++) {
-            failed = play(new FailingCalls(kind, first, inARow, failure));
+        for (int firstFailingCall = 1; failed > 0 && firstFailingCall <= CALL_LIMIT; firstFailingCall++) {
+            failed = play(new FailingCalls(kind, firstFailingCall, consecutiveFailures, failure));
             counts[0]++;
             counts[1] += failed;
         }
         return counts;
     }
 
-    /** Plays the conversation and returns how many calls were made to fail. */
+    /** Plays the conversation and returns the number of calls that were made to fail. */
     private static int play(FailingCalls calls) throws Exception {
-        String what = calls.kind + " from call " + calls.first + ", " + calls.inARow + " in a row: " + calls.failure;
-        Map<String, Integer> ran = new ConcurrentHashMap<>();
+        String description = calls.kind + " from call " + calls.firstFailingCall + ", " + calls.consecutiveFailures
+                + " in a row: " + calls.failure;
+        Map<String, Integer> runsByUpload = new ConcurrentHashMap<>();
         try (ServerSocket primary = listen()) {
-            serve(primary, ran);
-            String at = "127.0.0.1:" + primary.getLocalPort();
+            serve(primary, runsByUpload);
+            String address = "127.0.0.1:" + primary.getLocalPort();
             String text = Scenario.config()
-                    .replace("\"endpoint\": \"127.0.0.1:9\"", "\"endpoint\": \"" + at + "\"")
+                    .replace("\"endpoint\": \"127.0.0.1:9\"", "\"endpoint\": \"" + address + "\"")
                     .replace("\"giveUp\": 3000000000", "\"giveUp\": 500000000")
                     .replace("\"giveUp\": 600000000", "\"giveUp\": 500000000");
             EventLoop loop = new EventLoop(Config.parse(text, Map.of()), PgClient::new, PgServer::new, calls);
             Thread thread = new Thread(loop::run);
             thread.setDaemon(true);
             thread.start();
-            converse(loop, what);
-            restUntilTheEnd(loop, what);
-            thread.join(PATIENCE_MILLIS);
-            assertFalse(thread.isAlive(), what + ": the loop has not ended");
-            assertTrue(loop.brokenInvariants().isEmpty(), what + ": " + loop.brokenInvariants());
+            converse(loop, description);
+            idleUntilShutdown(loop, description);
+            thread.join(TIMEOUT_MILLIS);
+            assertFalse(thread.isAlive(), description + ": the loop has not ended");
+            assertTrue(loop.brokenInvariants().isEmpty(), description + ": " + loop.brokenInvariants());
         }
-        ran.forEach((id, times) -> assertEquals(1, times, what + ": upload " + id + " ran " + times + " times"));
-        return calls.failed;
+        runsByUpload.forEach(
+                (id, times) -> assertEquals(1, times, description + ": upload " + id + " ran " + times + " times"));
+        return calls.failedCount;
     }
 
-    /** Three requests, one of them an upload, on two connections one after the other. */
-    private static void converse(EventLoop loop, String what) throws IOException {
+    /** Sends a read and an upload on each of two connections, one after the other. */
+    private static void converse(EventLoop loop, String description) throws IOException {
         for (String name : List.of("first", "second")) {
             try (Socket client = new Socket()) {
                 client.connect(loop.address());
-                client.setSoTimeout(PATIENCE_MILLIS);
+                client.setSoTimeout(TIMEOUT_MILLIS);
                 DataInputStream in = new DataInputStream(client.getInputStream());
                 client.getOutputStream().write(startup());
-                answered(in, what + ", welcome of the " + name);
+                readAnswer(in, description + ", welcome of the " + name);
                 client.getOutputStream().write(query(READ.formatted(name + "-read")));
-                answered(in, what + ", read of the " + name);
+                readAnswer(in, description + ", read of the " + name);
                 client.getOutputStream().write(query(WRITE.formatted(name + "-write")));
-                answered(in, what + ", write of the " + name);
+                readAnswer(in, description + ", write of the " + name);
             }
         }
     }
 
-    /** A client that rests while the loop is stopped: its connection is ended in order. */
-    private static void restUntilTheEnd(EventLoop loop, String what) throws IOException {
+    /** Connects a client that is idle while the loop is stopped: its connection must be closed in order. */
+    private static void idleUntilShutdown(EventLoop loop, String description) throws IOException {
         try (Socket client = new Socket()) {
             client.connect(loop.address());
-            client.setSoTimeout(PATIENCE_MILLIS);
+            client.setSoTimeout(TIMEOUT_MILLIS);
             DataInputStream in = new DataInputStream(client.getInputStream());
             client.getOutputStream().write(startup());
-            answered(in, what + ", welcome of the resting one");
+            readAnswer(in, description + ", welcome of the idle one");
             loop.stop();
-            assertEquals(-1, in.read(), what + ": the resting connection is ended in order");
+            assertEquals(-1, in.read(), description + ": the idle connection is closed in order");
         }
     }
 
-    /** Reads to the end of an answer, whether it serves, refuses or fails. */
-    private static void answered(DataInputStream in, String what) {
+    /** Reads to the end of an answer of any kind: a result, a refusal or an error. */
+    private static void readAnswer(DataInputStream in, String description) {
         try {
             char type;
             do {
@@ -273,7 +275,7 @@
                 in.readNBytes(in.readInt() - 4);
             } while (type != 'Z');
         } catch (IOException e) {
-            throw new AssertionError(what + ": no whole answer", e);
+            throw new AssertionError(description + ": no complete answer", e);
         }
     }
 
@@ -281,17 +283,17 @@
         return new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     }
 
-    /** A group whose members share an address: every statement is served, and uploads are counted by their ids. */
-    private static void serve(ServerSocket listener, Map<String, Integer> ran) {
-        background(() -> {
+    /** Serves every statement, for a group whose members share an address, and counts uploads by their ids. */
+    private static void serve(ServerSocket listener, Map<String, Integer> runsByUpload) {
+        runInBackground(() -> {
             while (true) {
                 Socket connection = listener.accept();
-                background(() -> serve(connection, ran));
+                runInBackground(() -> serve(connection, runsByUpload));
             }
         });
     }
 
-    private static void serve(Socket connection, Map<String, Integer> ran) throws IOException {
+    private static void serve(Socket connection, Map<String, Integer> runsByUpload) throws IOException {
         try (connection) {
             connection.setTcpNoDelay(true);
             DataInputStream in = new DataInputStream(connection.getInputStream());
@@ -300,7 +302,7 @@
             while (in.readByte() == 'Q') {
                 String text = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8);
                 if (text.startsWith("INSERT")) {
-                    ran.merge(text.substring(text.indexOf("id=") + 3, text.indexOf(",c=")), 1, Integer::sum);
+                    runsByUpload.merge(text.substring(text.indexOf("id=") + 3, text.indexOf(",c=")), 1, Integer::sum);
                 }
                 byte[] answer = row("x");
                 connection
@@ -317,12 +319,12 @@
         void run() throws IOException;
     }
 
-    private static void background(Task task) {
+    private static void runInBackground(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (IOException e) {
-                // the connection has ended, as all do at the end of a play
+                // the connection has closed, as all do at the end of a play
             }
         });
         thread.setDaemon(true);
