--- a/lab/src/test/java/stoatrill/lab/rig/LeavingTest.java
+++ b/lab/src/test/java/stoatrill/lab/rig/LeavingTest.java
@@ -21,7 +21,7 @@
 @Timeout(240)
 class LeavingTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final String NOTICED = "now + hold * Timing.MILLI + timing.lateness()";
+    private static final String NOTICED = "now + holdMillis * Timing.NANOS_PER_MILLI + timing.holdOverrun()";
 
     private interface Played {
         Checker.Verdict play(RunLine run, Path dir) throws Exception;
--- a/lab/src/test/java/stoatrill/lab/rig/PlantedBugTest.java
+++ b/lab/src/test/java/stoatrill/lab/rig/PlantedBugTest.java
@@ -29,7 +29,7 @@
 
     private static final String BOUND = "? now - request.requestClass.bound()";
 
-    private static final String ANSWERED = "if (p.slot == slot && p.answer == null) {";
+    private static final String ANSWERED = "if (reply.slot == slot && reply.bytes == null) {";
 
     /**
      * The run line with one source file of the router changed and compiled anew, before the shipped jar.
@@ -91,7 +91,7 @@
                 dir,
                 "stoatrill/pg/PgClient.java",
                 ANSWERED,
-                "if (p.slot == slot && p.answer == null && !(answer instanceof Answer.Refused)) {");
+                "if (reply.slot == slot && reply.bytes == null && !(answer instanceof Answer.Refused)) {");
         Checker.Verdict kept = caught(dir, planted, PlantedBugTest::cutOff, Checker.Verdict::noFinalAnswer);
         assertTrue(kept.refused() > 0, "nothing was refused, so the scenario shows nothing: " + kept);
     }
--- a/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
+++ b/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
@@ -14,75 +14,98 @@
 import stoatrill.http.ResponseParser.BadResponseException;
 
 /**
- * Asks discovery for the list and watches it, one call at a time over one connection. A watch goes on as long
- * as its next call follows at once; a call that fails ends it, and the module decides when to follow again. A
- * watch that has fallen silent is opened anew at once, since what it missed counts as told soon after its wait.
+ * Fetches the list of servers from discovery and watches it by long polls, one call at a time over one connection.
+ *
+ * <p>A watch continues as long as its next call follows at once. A failed call ends it, and the module decides when
+ * to follow the list again. A watch that falls silent is replaced at once, since a change that it missed counts as
+ * known to the router soon after its hold time.
  */
 public final class DiscoveryClient {
 
-    /** How calls are timed; spans in nanoseconds. */
-    public record Timing(boolean pushed, long hold, long lateness, long patience, long seed) {
-        private static final long MILLI = 1_000_000L;
-        /** A change that a call given up has missed counts as known to the router so long after discovery had it. */
-        private static final long MISSED_COUNTS = 6_000 * MILLI;
-        /** Discovery fails a call after 2 s in its queue by itself, and says so. */
-        private static final long LONGEST_QUEUE = 2_000 * MILLI;
-
-        /** What an answer may take beyond that queue. */
-        private static final long MOST_SERVICE = 500 * MILLI;
-        /** The protocol's slack on every limit in time. */
-        private static final long SLACK = 50 * MILLI;
-        /** A connection that is not up by then is given up, so soon that a call made anew is still in time. */
-        private static final long CONNECT = 1_000 * MILLI;
-        /** An answer that has begun comes whole within this, or the next call would come too late. */
-        private static final long WHOLE = 1_000 * MILLI;
-
-        private static final long MOST_LATE = 500 * MILLI;
-        /** Discovery lets a call wait for 60 s at most; a watch that long would tell nothing of a lost connection. */
-        private static final long MOST_HOLD = 20_000 * MILLI;
-        /** Kept free for what a send waits for its connection, and for the clocks. */
-        private static final long SPARE = 250 * MILLI;
+    /**
+     * The timing of calls; all spans are in nanoseconds.
+     *
+     * @param isPushed whether lists are pushed to an agent, rather than asked of discovery itself
+     * @param maxHold the longest that a watch asks discovery to hold its call
+     * @param holdOverrun how long after its hold time a watch's answer may still come
+     * @param answerTimeout how long after it is sent another call's answer may come
+     * @param seed for the random hold times
+     */
+    public record Timing(boolean isPushed, long maxHold, long holdOverrun, long answerTimeout, long seed) {
+        private static final long NANOS_PER_MILLI = 1_000_000L;
+        /** A change missed by an abandoned call counts as known to the router this long after discovery had it. */
+        private static final long MISSED_CHANGE_NANOS = 6_000 * NANOS_PER_MILLI;
+        /** Discovery itself fails a call that waited for 2 s in its queue, and reports so. */
+        private static final long MAX_QUEUE_NANOS = 2_000 * NANOS_PER_MILLI;
+
+        /** The longest that an answer takes after the wait in that queue. */
+        private static final long MAX_SERVICE_NANOS = 500 * NANOS_PER_MILLI;
+        /** The slack that the protocol grants on every time limit. */
+        private static final long PROTOCOL_SLACK_NANOS = 50 * NANOS_PER_MILLI;
+        /** A connection attempt is abandoned after this, early enough for a second call to be in time. */
+        private static final long CONNECT_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
+        /** A response must be complete this long after its first byte, or the next call would be too late. */
+        private static final long RESPONSE_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
+
+        private static final long MAX_OVERRUN_NANOS = 500 * NANOS_PER_MILLI;
+        /** Discovery holds a call for up to 60 s, but so long a watch would not reveal a lost connection in time. */
+        private static final long MAX_HOLD_NANOS = 20_000 * NANOS_PER_MILLI;
+        /** Reserve for the time that a send waits for its connection, and for clock differences. */
+        private static final long RESERVE_NANOS = 250 * NANOS_PER_MILLI;
 
         /**
-         * The timing that the settings give. The longest that a watch asks to wait is such that, if it falls silent as
-         * it begins, silence is noticed and the call after it answered before the grace is over from when the first
-         * change that it missed counts. Each wait is drawn anew between that and half of it. Guards against a fleet
-         * whose watches began together, and end so: discovery takes calls in turn and fails those that it can't take
-         * in 2 s. An agent answers at once, so a call to it is lost after half of the grace, and is made again.
-         * Discovery that is asked has its queue's time and as much as leaves room for a second call that waits for
-         * its turn: after a move both fit in 4 s and the grace.
+         * Derives the timing from the settings.
+         *
+         * <p>The longest hold of a watch is limited as follows. If the watch falls silent as it begins, the silence is
+         * noticed and the next call answered before the drain grace ends, which starts when the first missed change
+         * counts as known. Each watch draws its hold time at random between half of the limit and the limit. Otherwise
+         * the watches of a fleet that began together would also end together, and discovery, which serves calls one
+         * after another, fails those that it can't serve within 2 s.
+         *
+         * <p>An agent answers at once, so a call to it counts as lost after half of the grace, and is made again.
+         * Discovery itself is given the time of its queue, and a service time that leaves room for a second call that
+         * also waits in the queue: after a change of address both fit into 4 s and the grace.
          *
-         * @param seed for the drawing of waits
+         * @param seed for the random hold times
          */
         public static Timing of(Settings settings, long seed) {
             long grace = settings.rules().drainGrace();
-            long late = Math.min(MOST_LATE, grace);
-            long hold = Math.min(
-                    MOST_HOLD, MISSED_COUNTS + grace - late - SPARE - (settings.asked() ? LONGEST_QUEUE : grace));
-            long turn = LONGEST_QUEUE + Math.min(MOST_SERVICE, grace - SLACK);
-            long patience = settings.asked() ? turn : Math.min(LONGEST_QUEUE + MOST_SERVICE, grace / 2);
-            return new Timing(!settings.asked(), hold, late, patience, seed + settings.me()); // seeds may be the same
+            long holdOverrun = Math.min(MAX_OVERRUN_NANOS, grace);
+            long maxHold = Math.min(
+                    MAX_HOLD_NANOS,
+                    MISSED_CHANGE_NANOS
+                            + grace
+                            - holdOverrun
+                            - RESERVE_NANOS
+                            - (settings.asked() ? MAX_QUEUE_NANOS : grace));
+            long queueAndService = MAX_QUEUE_NANOS + Math.min(MAX_SERVICE_NANOS, grace - PROTOCOL_SLACK_NANOS);
+            long answerTimeout =
+                    settings.asked() ? queueAndService : Math.min(MAX_QUEUE_NANOS + MAX_SERVICE_NANOS, grace / 2);
+            // Routers may be given the same seed.
+            return new Timing(!settings.asked(), maxHold, holdOverrun, answerTimeout, seed + settings.me());
         }
     }
 
-    /** What this client asks of its surroundings. */
+    /** The environment of a client: its connection, and the receiver of its lists. */
     public interface Peer {
         /** Opens a connection to discovery; {@link #connected} or {@link #broken} follows. */
         void open();
 
+        /** Sends a request over the open connection. */
         void send(byte[] request);
 
-        /** Closes the connection; nothing follows. */
+        /** Closes the connection; no callback follows. */
         void close();
 
+        /** Delivers a list or changes of it, or, without entries, reports a failed call or a silent watch. */
         void members(long now, ListKind kind, List<ServerEntry> entries);
 
-        /** A line for the operators. */
+        /** Logs a line for the operators. */
         void log(String line);
     }
 
-    /** CHECK asks for changes as a watch does, and is answered at once. */
-    private enum Call {
+    /** The kind of the call under way. CHECK asks for changes as WATCH does, but is answered at once. */
+    private enum CallKind {
         NONE,
         WATCH,
         CHECK,
@@ -95,26 +118,26 @@
     private final SplittableRandom random;
     private String host;
     private long version;
-    private boolean following;
-    private boolean wantsAll;
-    private boolean unsure;
-    private boolean said;
-    private Call call = Call.NONE;
-    private boolean up;
-    private boolean opening;
-    private boolean fresh;
-    private boolean heard;
-    /** Whether the call under way is the second of its kind, since the first got no answer in time. */
-    private boolean secondCall;
-
-    private Deadline patience;
+    private boolean isFollowing;
+    private boolean fullListRequested;
+    private boolean checkNeeded;
+    private boolean badResponseLogged;
+    private CallKind currentCall = CallKind.NONE;
+    private boolean isConnected;
+    private boolean isConnecting;
+    private boolean isNewConnection;
+    private boolean responseBegun;
+    /** Whether the call under way repeats one that was not answered in time. */
+    private boolean isSecondTry;
+
+    private Deadline timeout;
     private ResponseParser parser = new ResponseParser();
 
     /**
-     * A client that makes no call before {@link #follow} or {@link #fetch}. Where lists are pushed, what the agent
-     * has counts as told from the start, so it is asked what that is before it is watched.
+     * Creates a client, which makes no call before {@link #follow} or {@link #fetch}. Where lists are pushed, the
+     * agent's list counts as known to the router from the start, so the client checks for changes before it watches.
      *
-     * @param version of the list already held; negative if none is
+     * @param version the version of the list already held; negative if there is none
      */
     public DiscoveryClient(Peer peer, Deadlines deadlines, String host, long version, Timing timing) {
         this.peer = peer;
@@ -123,213 +146,215 @@
         this.version = version;
         this.timing = timing;
         this.random = new SplittableRandom(timing.seed());
-        this.unsure = timing.pushed();
+        this.checkNeeded = timing.isPushed();
     }
 
-    /** Follows the list from now on, or stops. */
-    public void follow(long now, boolean on) {
-        following = on;
-        next(now);
+    /** Starts or stops watching the list; a call that is already under way is not affected. */
+    public void follow(long now, boolean enabled) {
+        isFollowing = enabled;
+        startNextCall(now);
     }
 
-    /** Asks for the whole list once. */
+    /** Fetches the full list once. */
     public void fetch(long now) {
-        wantsAll = true;
-        next(now);
+        fullListRequested = true;
+        startNextCall(now);
     }
 
-    /** Discovery is elsewhere from now on: a call under way is made there instead, for the whole list. */
-    public void move(long now, String to) {
-        host = to;
-        version = -1; // its versions need not be the old one's
-        wantsAll |= call != Call.NONE;
+    /** Changes discovery's address; a call under way is replaced by one to the new address, for the full list. */
+    public void move(long now, String newHost) {
+        host = newHost;
+        version = -1; // versions of another discovery are not comparable
+        fullListRequested |= currentCall != CallKind.NONE;
         disconnect();
-        finish();
-        next(now);
+        finishCall();
+        startNextCall(now);
     }
 
-    private void next(long now) {
-        if (call != Call.NONE || !(following || wantsAll)) {
+    private void startNextCall(long now) {
+        if (currentCall != CallKind.NONE || !(isFollowing || fullListRequested)) {
             return;
         }
-        boolean all = wantsAll || version < 0;
-        call = all ? Call.FETCH : unsure ? Call.CHECK : Call.WATCH;
-        wantsAll = false;
-        start(now);
+        boolean fetchesAll = fullListRequested || version < 0;
+        currentCall = fetchesAll ? CallKind.FETCH : checkNeeded ? CallKind.CHECK : CallKind.WATCH;
+        fullListRequested = false;
+        startCall(now);
     }
 
-    private void start(long now) {
-        heard = false;
-        fresh = !up;
-        if (up) {
-            send(now);
+    private void startCall(long now) {
+        responseBegun = false;
+        isNewConnection = !isConnected;
+        if (isConnected) {
+            sendRequest(now);
         } else {
-            opening = true;
-            answerBy(now + Math.min(timing.patience(), Timing.CONNECT), this::fail);
+            isConnecting = true;
+            setTimeout(now + Math.min(timing.answerTimeout(), Timing.CONNECT_TIMEOUT_NANOS), this::failCall);
             peer.open();
         }
     }
 
-    private void send(long now) {
-        long most = timing.hold() / Timing.MILLI;
-        long hold = call != Call.WATCH ? 0 : most / 2 + random.nextLong(most / 2);
-        // Guards against a discovery that is cut off: its connection stays open and silent.
-        if (call == Call.WATCH) {
-            answerBy(now + hold * Timing.MILLI + timing.lateness(), this::silent);
+    private void sendRequest(long now) {
+        long maxHoldMillis = timing.maxHold() / Timing.NANOS_PER_MILLI;
+        long holdMillis = currentCall != CallKind.WATCH ? 0 : maxHoldMillis / 2 + random.nextLong(maxHoldMillis / 2);
+        // The connection to a discovery that is cut off stays open and silent, so every call has a timeout.
+        if (currentCall == CallKind.WATCH) {
+            setTimeout(now + holdMillis * Timing.NANOS_PER_MILLI + timing.holdOverrun(), this::handleSilentWatch);
         } else {
-            answerBy(now + timing.patience(), this::lost);
+            setTimeout(now + timing.answerTimeout(), this::handleLostCall);
         }
-        String query = call == Call.FETCH ? "" : "?from=" + version + "&hold_ms=" + hold;
+        String query = currentCall == CallKind.FETCH ? "" : "?from=" + version + "&hold_ms=" + holdMillis;
         peer.send(("GET /v1/servers" + query + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void answerBy(long until, LongConsumer otherwise) {
-        if (patience != null) {
-            patience.cancel();
+    private void setTimeout(long timeoutAt, LongConsumer onTimeout) {
+        if (timeout != null) {
+            timeout.cancel();
         }
-        patience = deadlines.at(until, () -> otherwise.accept(until));
+        timeout = deadlines.at(timeoutAt, () -> onTimeout.accept(timeoutAt));
     }
 
-    /** The connection is up. */
+    /** The connection has been established. */
     public void connected(long now) {
-        opening = false;
-        up = true;
-        send(now);
+        isConnecting = false;
+        isConnected = true;
+        sendRequest(now);
     }
 
-    /** Bytes have come in; all of them are taken. */
+    /** Bytes have arrived; all of them are consumed. */
     public void received(long now, ByteBuffer bytes) {
-        if (!heard && call != Call.NONE) {
-            answerBy(now + Timing.WHOLE, this::fail); // guards against an answer that never ends
+        if (!responseBegun && currentCall != CallKind.NONE) {
+            setTimeout(now + Timing.RESPONSE_TIMEOUT_NANOS, this::failCall); // the response may never be completed
         }
-        heard = true;
+        responseBegun = true;
         try {
             ResponseParser.Response response = parser.parse(bytes);
             if (response != null) {
-                done(now, response);
+                handleResponse(now, response);
             }
         } catch (BadResponseException e) {
-            unusable(e.getMessage());
-            fail(now);
+            logUnusableResponse(e.getMessage());
+            failCall(now);
         }
-        bytes.position(bytes.limit()); // one call at a time: nothing may follow its answer
+        bytes.position(bytes.limit()); // one call at a time: nothing may follow its response
     }
 
-    /** The connection has ended in order, which completes an answer that gave no length. */
+    /** Discovery has closed the connection in order, which completes a response without a length. */
     public void ended(long now) {
-        gone(now, parser.end());
+        handleDisconnect(now, parser.end());
     }
 
-    /** The connection could not be opened or was reset, which is no end of an answer. */
+    /** The connection could not be opened or was reset, which does not complete a response. */
     public void broken(long now) {
-        gone(now, null);
+        handleDisconnect(now, null);
     }
 
-    private void gone(long now, ResponseParser.Response last) {
-        boolean again = up && !fresh && !heard;
-        up = false;
-        opening = false;
+    private void handleDisconnect(long now, ResponseParser.Response lastResponse) {
+        boolean closedWhileIdle = isConnected && !isNewConnection && !responseBegun;
+        isConnected = false;
+        isConnecting = false;
         parser = new ResponseParser();
-        if (call == Call.NONE) {
+        if (currentCall == CallKind.NONE) {
             return;
         }
-        if (last != null) {
-            done(now, last);
-        } else if (again) {
-            // The connection had been closed at rest: no failure of this call. What an agent has got since counts.
-            call = timing.pushed() && call == Call.WATCH ? Call.CHECK : call;
-            start(now);
+        if (lastResponse != null) {
+            handleResponse(now, lastResponse);
+        } else if (closedWhileIdle) {
+            // The connection was closed while idle, which is no failure of this call. Changes that an agent received
+            // since then count as known, so a watch of an agent becomes a check.
+            currentCall = timing.isPushed() && currentCall == CallKind.WATCH ? CallKind.CHECK : currentCall;
+            startCall(now);
         } else {
-            fail(now);
+            failCall(now);
         }
     }
 
-    private void done(long now, ResponseParser.Response response) {
-        if (call == Call.NONE) {
-            fail(now);
+    private void handleResponse(long now, ResponseParser.Response response) {
+        if (currentCall == CallKind.NONE) {
+            failCall(now);
             return;
         }
         if (!response.reusable()) {
             disconnect();
         }
         if (response.status() != 200) {
-            fail(now);
+            failCall(now);
             return;
         }
         try {
             ServerList list = ServerList.parse(new String(response.body(), StandardCharsets.UTF_8));
-            finish();
-            unsure = false;
-            said = false;
+            finishCall();
+            checkNeeded = false;
+            badResponseLogged = false;
             version = list.version();
-            // The next call goes out first: a watch ends if it is not renewed within 200 ms.
-            next(now);
+            // The next call is sent first: a watch ends if it is not renewed within 200 ms.
+            startNextCall(now);
             peer.members(now, list.all() ? ListKind.FULL : ListKind.DELTA, list.entries());
         } catch (ServerList.BadListException e) {
-            unusable(e.getMessage());
-            fail(now);
+            logUnusableResponse(e.getMessage());
+            failCall(now);
         }
     }
 
-    /** Says what is wrong with an answer, once until one can be used again. */
-    private void unusable(String why) {
-        if (!said) {
-            said = true;
-            peer.log("discovery at " + host + " gave an answer that can't be used (" + why
-                    + "); the list held before stays in use and is asked for again");
+    /** Logs why a response can't be used, once until a usable one arrives. */
+    private void logUnusableResponse(String reason) {
+        if (!badResponseLogged) {
+            badResponseLogged = true;
+            peer.log("discovery at " + host + " sent an unusable response (" + reason
+                    + "); the previous list stays in use and is requested again");
         }
     }
 
-    private void finish() {
-        call = Call.NONE;
-        secondCall = false;
-        if (patience != null) {
-            patience.cancel();
+    private void finishCall() {
+        currentCall = CallKind.NONE;
+        isSecondTry = false;
+        if (timeout != null) {
+            timeout.cancel();
         }
     }
 
     private void disconnect() {
-        if (up || opening) {
+        if (isConnected || isConnecting) {
             peer.close();
         }
-        up = false;
-        opening = false;
+        isConnected = false;
+        isConnecting = false;
         parser = new ResponseParser();
     }
 
-    /** Nothing came from a watch whose wait is over: it is broken, and what has changed is asked for at once. */
-    private void silent(long now) {
+    /** A watch was not answered in time: closes its connection and checks for changes at once. */
+    private void handleSilentWatch(long now) {
         disconnect();
-        finish();
-        unsure = true;
-        next(now);
+        finishCall();
+        checkNeeded = true;
+        startNextCall(now);
         peer.members(now, ListKind.SILENT, List.of());
     }
 
     /**
-     * No answer and no refusal came in time, though the connection was up: the call went astray. It is made once more
-     * at once, by a connection of its own; a wait as after a refusal would come too late where a change is to be known.
+     * A call on an open connection got no response in time, not even a refusal, and counts as lost. It is repeated
+     * once, at once and over a new connection: a wait as after a refusal could exceed the time in which a change must
+     * be known.
      */
-    private void lost(long now) {
-        if (secondCall) {
-            fail(now);
+    private void handleLostCall(long now) {
+        if (isSecondTry) {
+            failCall(now);
             return;
         }
-        secondCall = true;
+        isSecondTry = true;
         disconnect();
-        start(now);
+        startCall(now);
         peer.members(now, ListKind.SILENT, List.of());
     }
 
-    private void fail(long now) {
-        boolean told = call != Call.NONE;
+    private void failCall(long now) {
+        boolean callWasOpen = currentCall != CallKind.NONE;
         disconnect();
-        finish();
-        following = false;
-        wantsAll = false;
-        unsure = true; // what has changed meanwhile is asked for by a call that is answered at once
-        if (told) {
+        finishCall();
+        isFollowing = false;
+        fullListRequested = false;
+        checkNeeded = true; // changes made meanwhile are asked for by a call that is answered at once
+        if (callWasOpen) {
             peer.members(now, ListKind.FAILED, List.of());
         }
     }
--- a/router/src/main/java/stoatrill/discovery/ServerList.java
+++ b/router/src/main/java/stoatrill/discovery/ServerList.java
@@ -11,13 +11,13 @@
 import stoatrill.config.Endpoint;
 import stoatrill.core.ServerEntry;
 
-/** A list of servers, or the changes since a version. */
+/** A list of servers with its version; the entries are either all servers or the changes since an earlier version. */
 public record ServerList(long version, boolean all, List<ServerEntry> entries) {
 
-    /** Characters of what is wrong: what came may be long. */
-    private static final int MOST_SAID = 160;
+    /** Limits the reason that is reported, which quotes the received text. */
+    private static final int MAX_REASON_CHARS = 160;
 
-    /** A body that is no list. */
+    /** Thrown for a response body that is not a list of servers. */
     public static final class BadListException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -26,16 +26,20 @@
         }
     }
 
-    /** Reads discovery's form of a list; an entry that can't be used makes it all unusable. */
+    /**
+     * Parses a list in discovery's JSON format.
+     *
+     * @throws BadListException if any part of it, such as a single entry, can't be used
+     */
     public static ServerList parse(String json) throws BadListException {
         try {
             JsonObject list = JsonParser.parseString(json).getAsJsonObject();
             List<ServerEntry> entries = new ArrayList<>();
-            for (JsonElement target : field(list, "targets").getAsJsonArray()) {
-                entries.add(entry(target.getAsJsonObject()));
+            for (JsonElement target : requiredField(list, "targets").getAsJsonArray()) {
+                entries.add(parseEntry(target.getAsJsonObject()));
             }
             return new ServerList(
-                    field(list, "rev").getAsLong(),
+                    requiredField(list, "rev").getAsLong(),
                     !list.has("all") || list.get("all").getAsBoolean(),
                     entries);
         } catch (ConfigException
@@ -44,39 +48,42 @@
                 | ClassCastException
                 | NumberFormatException
                 | NullPointerException e) {
-            String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new BadListException("not a list of servers: " + why.substring(0, Math.min(MOST_SAID, why.length())));
+            String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+            throw new BadListException(
+                    "not a list of servers: " + reason.substring(0, Math.min(MAX_REASON_CHARS, reason.length())));
         }
     }
 
-    private static ServerEntry entry(JsonObject e) throws ConfigException {
+    private static ServerEntry parseEntry(JsonObject object) throws ConfigException {
         State state =
-                switch (field(e, "state").getAsString()) {
+                switch (requiredField(object, "state").getAsString()) {
                     case "Terminating" -> State.DRAINING;
                     case "Gone" -> State.GONE;
                     default -> State.READY;
                 };
         return new ServerEntry(
-                field(e, "uid").getAsString(),
-                Endpoint.parse(field(e, "endpoint").getAsString()),
-                text(e, "az"),
-                text(e, "model"),
-                e.has("pod_group") ? e.get("pod_group").getAsInt() : 0,
-                e.has("capacity_hint") ? e.get("capacity_hint").getAsDouble() : 1,
-                e.has("boot_ms") ? e.get("boot_ms").getAsLong() : 0,
-                "writer".equals(text(e, "access")),
+                requiredField(object, "uid").getAsString(),
+                Endpoint.parse(requiredField(object, "endpoint").getAsString()),
+                optionalText(object, "az"),
+                optionalText(object, "model"),
+                object.has("pod_group") ? object.get("pod_group").getAsInt() : 0,
+                object.has("capacity_hint") ? object.get("capacity_hint").getAsDouble() : 1,
+                object.has("boot_ms") ? object.get("boot_ms").getAsLong() : 0,
+                "writer".equals(optionalText(object, "access")),
                 state);
     }
 
-    private static JsonElement field(JsonObject of, String name) {
-        JsonElement field = of.get(name);
+    private static JsonElement requiredField(JsonObject object, String name) {
+        JsonElement field = object.get(name);
         if (field == null) {
             throw new JsonParseException("no field \"" + name + "\"");
         }
         return field;
     }
 
-    private static String text(JsonObject e, String name) {
-        return e.has(name) && e.get(name).isJsonPrimitive() ? e.get(name).getAsString() : "";
+    private static String optionalText(JsonObject object, String name) {
+        return object.has(name) && object.get(name).isJsonPrimitive()
+                ? object.get(name).getAsString()
+                : "";
     }
 }
--- a/router/src/main/java/stoatrill/discovery/package-info.java
+++ b/router/src/main/java/stoatrill/discovery/package-info.java
@@ -1,2 +1,5 @@
-/** The list of servers: reading it, asking for it, watching it, and when a watch has fallen silent. Knows no socket. */
+/**
+ * The list of servers: parsing it, fetching it, watching it, and detecting a silent watch. Does no input or output of
+ * its own.
+ */
 package stoatrill.discovery;
--- a/router/src/main/java/stoatrill/pg/MessageReader.java
+++ b/router/src/main/java/stoatrill/pg/MessageReader.java
@@ -3,139 +3,152 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Cuts a stream of bytes into messages; keeps what is not whole yet. */
+/** Splits a byte stream into protocol messages and keeps the bytes of an incomplete one. */
 final class MessageReader {
-    private static final int FIRST_SIZE = 512;
-    private static final int KEEP_SIZE = 8192;
-    private int longest;
+    private static final int INITIAL_CAPACITY_BYTES = 512;
+    private static final int MAX_IDLE_CAPACITY_BYTES = 8192;
+    private int maxLength;
     private byte[] buffer = new byte[0];
-    private int start;
-    private int end;
-    private boolean typed;
+    private int unreadStart;
+    private int unreadEnd;
+    private boolean hasTypeByte;
     private int type;
-    private int from;
-    private int to;
+    private int bodyStart;
+    private int bodyEnd;
 
-    /** {@code typed}: messages begin with a type byte, as all but a client's first do. */
-    MessageReader(boolean typed, int longest) {
-        this.typed = typed;
-        this.longest = longest;
+    /**
+     * Creates a reader for one direction of a connection.
+     *
+     * @param hasTypeByte whether messages begin with a type byte, as all but a client's startup messages do
+     * @param maxLength the largest length field that is accepted, in bytes
+     */
+    MessageReader(boolean hasTypeByte, int maxLength) {
+        this.hasTypeByte = hasTypeByte;
+        this.maxLength = maxLength;
     }
 
-    /** How the messages from here on look. */
-    void expect(boolean typed, int longest) {
-        this.typed = typed;
-        this.longest = longest;
+    /** Sets the framing of the messages that follow; the parameters are those of the constructor. */
+    void setFraming(boolean hasTypeByte, int maxLength) {
+        this.hasTypeByte = hasTypeByte;
+        this.maxLength = maxLength;
     }
 
     void append(ByteBuffer bytes) {
-        int more = bytes.remaining();
-        if (start == end) {
-            start = end = 0;
-            if (buffer.length > KEEP_SIZE) {
-                buffer = new byte[0]; // one large value must not cost its size for the connection's life
+        int addedSize = bytes.remaining();
+        if (unreadStart == unreadEnd) {
+            unreadStart = unreadEnd = 0;
+            if (buffer.length > MAX_IDLE_CAPACITY_BYTES) {
+                buffer = new byte[0]; // one large message must not occupy its size until the connection closes
             }
         }
-        if (end + more > buffer.length) {
-            byte[] into = end - start + more <= buffer.length
+        if (unreadEnd + addedSize > buffer.length) {
+            byte[] target = unreadEnd - unreadStart + addedSize <= buffer.length
                     ? buffer
-                    : new byte[Math.max(FIRST_SIZE, Math.max(2 * buffer.length, end - start + more))];
-            System.arraycopy(buffer, start, into, 0, end - start);
-            buffer = into;
-            end -= start;
-            start = 0;
+                    : new byte
+                            [Math.max(
+                                    INITIAL_CAPACITY_BYTES,
+                                    Math.max(2 * buffer.length, unreadEnd - unreadStart + addedSize))];
+            System.arraycopy(buffer, unreadStart, target, 0, unreadEnd - unreadStart);
+            buffer = target;
+            unreadEnd -= unreadStart;
+            unreadStart = 0;
         }
-        bytes.get(buffer, end, more);
-        end += more;
+        bytes.get(buffer, unreadEnd, addedSize);
+        unreadEnd += addedSize;
     }
 
-    /** The type byte of the message that begins next; -1 if nothing of it has come. */
-    int begins() {
-        return start < end ? buffer[start] & 0xff : -1;
+    /** Returns the type byte of the next message, or -1 if none of its bytes have arrived. */
+    int peekType() {
+        return unreadStart < unreadEnd ? buffer[unreadStart] & 0xff : -1;
     }
 
-    /** Moves to the next whole message; false if there is none yet. */
-    boolean next() throws PgException {
-        int head = typed ? 5 : 4;
-        if (end - start < head) {
+    /**
+     * Moves to the next complete message.
+     *
+     * @return false if no complete message has arrived yet
+     * @throws PgException if its length field is below 4 or above the limit
+     */
+    boolean readNext() throws PgException {
+        int headerSize = hasTypeByte ? 5 : 4;
+        if (unreadEnd - unreadStart < headerSize) {
             return false;
         }
-        int length = intAt(start + head - 4);
-        if (length < 4 || length > longest) {
+        int length = intAt(unreadStart + headerSize - 4);
+        if (length < 4 || length > maxLength) {
             throw new PgException(length < 4 ? "08P01" : "54000", "message of " + length + " bytes");
         }
-        int whole = length + head - 4;
-        if (end - start < whole) {
+        int messageSize = length + headerSize - 4;
+        if (unreadEnd - unreadStart < messageSize) {
             return false;
         }
-        type = typed ? buffer[start] & 0xff : 0;
-        from = start + head;
-        to = start + whole;
-        start = to;
+        type = hasTypeByte ? buffer[unreadStart] & 0xff : 0;
+        bodyStart = unreadStart + headerSize;
+        bodyEnd = unreadStart + messageSize;
+        unreadStart = bodyEnd;
         return true;
     }
 
-    boolean partial() {
-        return end > start;
+    boolean hasUnreadBytes() {
+        return unreadEnd > unreadStart;
     }
 
-    /** Bytes kept that no message read so far has taken. */
-    int held() {
-        return end - start;
+    /** Returns the number of buffered bytes that belong to no message read so far. */
+    int unreadSize() {
+        return unreadEnd - unreadStart;
     }
 
-    /** Forgets what is kept. */
+    /** Discards the buffered bytes. */
     void clear() {
         buffer = new byte[0];
-        start = end = 0;
+        unreadStart = unreadEnd = 0;
     }
 
     int type() {
         return type;
     }
 
-    /** Bytes of the message's body. */
-    int size() {
-        return to - from;
+    /** Returns the size of the current message's body in bytes. */
+    int bodySize() {
+        return bodyEnd - bodyStart;
     }
 
-    int int32(int at) throws PgException {
-        if (at + 4 > size()) {
+    int int32(int offset) throws PgException {
+        if (offset + 4 > bodySize()) {
             throw new PgException("08P01", "message is too short");
         }
-        return intAt(from + at);
+        return intAt(bodyStart + offset);
     }
 
-    int int16(int at) throws PgException {
-        if (at + 2 > size()) {
+    int int16(int offset) throws PgException {
+        if (offset + 2 > bodySize()) {
             throw new PgException("08P01", "message is too short");
         }
-        return ((buffer[from + at] & 0xff) << 8) | (buffer[from + at + 1] & 0xff);
+        return ((buffer[bodyStart + offset] & 0xff) << 8) | (buffer[bodyStart + offset + 1] & 0xff);
     }
 
-    byte[] bytes(int at, int length) throws PgException {
-        if (at < 0 || length < 0 || at + length > size()) {
+    byte[] copyBytes(int offset, int length) throws PgException {
+        if (offset < 0 || length < 0 || offset + length > bodySize()) {
             throw new PgException("08P01", "message is too short");
         }
-        return Arrays.copyOfRange(buffer, from + at, from + at + length);
+        return Arrays.copyOfRange(buffer, bodyStart + offset, bodyStart + offset + length);
     }
 
-    /** The whole message with its head. */
-    byte[] whole() {
-        return Arrays.copyOfRange(buffer, from - 5, to);
+    /** Returns a copy of the current message with its type byte and length field. */
+    byte[] copyMessage() {
+        return Arrays.copyOfRange(buffer, bodyStart - 5, bodyEnd);
     }
 
-    /** Where the string that begins there ends. */
-    int stringEnd(int at) throws PgException {
-        for (int i = from + at; i < to; i++) {
+    /** Returns the offset of the terminating zero of the string that begins at {@code offset}. */
+    int stringEnd(int offset) throws PgException {
+        for (int i = bodyStart + offset; i < bodyEnd; i++) {
             if (buffer[i] == 0) {
-                return i - from;
+                return i - bodyStart;
             }
         }
         throw new PgException("08P01", "string without its end");
     }
 
-    private int intAt(int at) {
-        return ByteBuffer.wrap(buffer, at, 4).getInt();
+    private int intAt(int index) {
+        return ByteBuffer.wrap(buffer, index, 4).getInt();
     }
 }
--- a/router/src/main/java/stoatrill/pg/Messages.java
+++ b/router/src/main/java/stoatrill/pg/Messages.java
@@ -4,12 +4,12 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The messages that the router words itself. */
+/** Builds the protocol messages that the router itself sends. */
 final class Messages {
-    static final int PROTOCOL_3 = 196608;
-    static final int CANCEL_REQUEST = 80877102;
-    static final int SSL_REQUEST = 80877103;
-    static final int GSS_REQUEST = 80877104;
+    static final int PROTOCOL_VERSION_3_CODE = 196608;
+    static final int CANCEL_REQUEST_CODE = 80877102;
+    static final int SSL_REQUEST_CODE = 80877103;
+    static final int GSS_ENCRYPTION_REQUEST_CODE = 80877104;
 
     private Messages() {}
 
@@ -17,27 +17,27 @@
         return message('Z', new byte[] {'I'});
     }
 
-    static byte[] emptyQuery() {
+    static byte[] emptyQueryResponse() {
         return message('I', new byte[0]);
     }
 
-    /** What a client gets once its startup message is accepted; the key is for its cancel requests. */
-    static byte[] welcome(long cancelKey) {
+    /** Returns what a client receives once its startup message is accepted; its cancel requests carry the key. */
+    static byte[] startupReply(long cancelKey) {
         return join(
                 message('R', new byte[4]),
-                message('S', strings("server_version", "15.0 (stoatrill)")),
-                message('S', strings("server_encoding", "UTF8")),
-                message('S', strings("client_encoding", "UTF8")),
-                message('S', strings("standard_conforming_strings", "on")),
+                message('S', nullTerminated("server_version", "15.0 (stoatrill)")),
+                message('S', nullTerminated("server_encoding", "UTF8")),
+                message('S', nullTerminated("client_encoding", "UTF8")),
+                message('S', nullTerminated("standard_conforming_strings", "on")),
                 message('K', ByteBuffer.allocate(8).putLong(cancelKey).array()),
                 readyForQuery());
     }
 
     static byte[] startup(String user, String database) {
-        byte[] body = join(strings("user", user, "database", database), new byte[1]);
+        byte[] body = join(nullTerminated("user", user, "database", database), new byte[1]);
         return ByteBuffer.allocate(8 + body.length)
                 .putInt(8 + body.length)
-                .putInt(PROTOCOL_3)
+                .putInt(PROTOCOL_VERSION_3_CODE)
                 .put(body)
                 .array();
     }
@@ -46,26 +46,26 @@
         return message('Q', join(statement, new byte[1]));
     }
 
-    static byte[] error(String severity, String sqlState, String text, String detail) {
+    static byte[] errorResponse(String severity, String sqlState, String text, String detail) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        field(body, 'S', severity);
-        field(body, 'V', severity);
-        field(body, 'C', sqlState);
-        field(body, 'M', text);
+        writeField(body, 'S', severity);
+        writeField(body, 'V', severity);
+        writeField(body, 'C', sqlState);
+        writeField(body, 'M', text);
         if (detail != null) {
-            field(body, 'D', detail);
+            writeField(body, 'D', detail);
         }
         body.write(0);
         return message('E', body.toByteArray());
     }
 
-    private static void field(ByteArrayOutputStream to, char code, String value) {
-        to.write(code);
-        to.writeBytes(value.getBytes(StandardCharsets.UTF_8));
-        to.write(0);
+    private static void writeField(ByteArrayOutputStream output, char code, String value) {
+        output.write(code);
+        output.writeBytes(value.getBytes(StandardCharsets.UTF_8));
+        output.write(0);
     }
 
-    private static byte[] strings(String... values) {
+    private static byte[] nullTerminated(String... values) {
         return (String.join("\0", values) + "\0").getBytes(StandardCharsets.UTF_8);
     }
 
@@ -82,10 +82,10 @@
         for (byte[] part : parts) {
             size += part.length;
         }
-        ByteBuffer all = ByteBuffer.allocate(size);
+        ByteBuffer joined = ByteBuffer.allocate(size);
         for (byte[] part : parts) {
-            all.put(part);
+            joined.put(part);
         }
-        return all.array();
+        return joined.array();
     }
 }
--- a/router/src/main/java/stoatrill/pg/PgClient.java
+++ b/router/src/main/java/stoatrill/pg/PgClient.java
@@ -6,40 +6,42 @@
 import stoatrill.core.Answer;
 import stoatrill.net.ClientProtocol;
 
-/** A client's connection: startup, simple queries one after another, and answers in their order. */
+/** Protocol of a client connection: startup, then pipelined simple queries, answered in the order they arrived. */
 public final class PgClient implements ClientProtocol {
-    private static final int LONGEST_STARTUP = 10_000;
-    /** A value of 64 KiB in hexadecimal, and the statement round it. */
-    private static final int LONGEST_QUERY = 2 * 64 * 1024 + 4096;
+    private static final int MAX_STARTUP_BYTES = 10_000;
+    /** Room for a 64 KiB value in hexadecimal and for the statement around it. */
+    private static final int MAX_QUERY_BYTES = 2 * 64 * 1024 + 4096;
 
-    private static final int MOST_WAITING = 64;
-    /** Commands read in one go. Guards the other connections from one that sends hundreds at once. */
-    private static final int MOST_AT_ONCE = 32;
-    /** Answers to commands that were read, oldest first; one that is null inside still has to come. */
-    private final ArrayDeque<Pending> pending = new ArrayDeque<>();
+    private static final int PENDING_REPLY_LIMIT = 64;
+    /** Limits the commands read per turn, so that a client that sends hundreds at once does not delay the others. */
+    private static final int COMMANDS_PER_TURN_LIMIT = 32;
+    /** Replies to the commands read so far, oldest first. */
+    private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
 
-    private final MessageReader in = new MessageReader(false, LONGEST_STARTUP);
+    private final MessageReader input = new MessageReader(false, MAX_STARTUP_BYTES);
     private final Peer peer;
-    private boolean started;
-    private long slots;
+    private boolean startupComplete;
+    private long nextSlot;
     private long commands;
-    private long unwritten;
-    private boolean yielded;
+    private long unwrittenBytes;
+    private boolean proceedScheduled;
     private boolean closed;
-    private boolean skipping;
+    private boolean skipUntilSync;
     private String team = "";
 
-    private static final class Pending {
+    /** The place of one command's reply in the order of replies; its bytes are null until the reply is known. */
+    private static final class PendingReply {
         final long slot;
         final boolean awaitsReady;
-        byte[] answer;
+        byte[] bytes;
 
-        Pending(long slot, boolean awaitsReady) {
+        PendingReply(long slot, boolean awaitsReady) {
             this.slot = slot;
             this.awaitsReady = awaitsReady;
         }
     }
 
+    /** Creates the protocol of one connection, which acts on its surroundings through {@code peer}. */
     public PgClient(Peer peer) {
         this.peer = peer;
     }
@@ -50,190 +52,192 @@
             bytes.position(bytes.limit());
             return;
         }
-        in.append(bytes);
+        input.append(bytes);
     }
 
     @Override
     public void proceed() {
-        yielded = false;
-        parse();
+        proceedScheduled = false;
+        readCommands();
     }
 
-    private void parse() {
-        long most = commands + MOST_AT_ONCE;
+    private void readCommands() {
+        long commandLimit = commands + COMMANDS_PER_TURN_LIMIT;
         try {
-            while (!closed && !started && in.next()) {
-                startup();
+            while (!closed && !startupComplete && input.readNext()) {
+                handleStartup();
             }
-            while (!closed && started && pending.size() < MOST_WAITING && in.next()) {
+            while (!closed && startupComplete && pendingReplies.size() < PENDING_REPLY_LIMIT && input.readNext()) {
                 commands++;
-                command();
-                if (commands == most && in.partial()) {
-                    yielded = true;
+                handleCommand();
+                if (commands == commandLimit && input.hasUnreadBytes()) {
+                    proceedScheduled = true;
                     peer.proceedLater();
                     return;
                 }
             }
         } catch (PgException e) {
-            fatal(e.sqlState, e.getMessage());
+            failConnection(e.sqlState, e.getMessage());
         }
     }
 
-    private void startup() throws PgException {
-        int code = in.int32(0);
-        if (code == Messages.SSL_REQUEST || code == Messages.GSS_REQUEST) {
+    private void handleStartup() throws PgException {
+        int code = input.int32(0);
+        if (code == Messages.SSL_REQUEST_CODE || code == Messages.GSS_ENCRYPTION_REQUEST_CODE) {
             peer.write(new byte[] {'N'});
-        } else if (code == Messages.CANCEL_REQUEST) {
-            if (in.size() == 12) {
-                peer.cancel(((long) in.int32(4) << 32) | (in.int32(8) & 0xffffffffL));
+        } else if (code == Messages.CANCEL_REQUEST_CODE) {
+            if (input.bodySize() == 12) {
+                peer.cancel(((long) input.int32(4) << 32) | (input.int32(8) & 0xffffffffL));
             }
-            close(); // the protocol gives it no answer
+            close(); // the protocol defines no reply to a cancel request
         } else if (code >>> 16 != 3) {
             throw new PgException("0A000", "protocol version " + (code >>> 16) + " is not spoken");
-        } else if (in.size() < 5 || in.bytes(in.size() - 1, 1)[0] != 0) {
+        } else if (input.bodySize() < 5 || input.copyBytes(input.bodySize() - 1, 1)[0] != 0) {
             throw new PgException("08P01", "malformed startup message");
         } else {
-            started = true;
-            team = team();
-            in.expect(true, LONGEST_QUERY);
-            peer.write(Messages.welcome(peer.cancelKey()));
+            startupComplete = true;
+            team = parseTeam();
+            input.setFraming(true, MAX_QUERY_BYTES);
+            peer.write(Messages.startupReply(peer.cancelKey()));
         }
     }
 
     /**
-     * For whom the connection asks: {@code application_name} if it is of the form {@code team:NAME}, since drivers put
-     * their own name there, else the user.
+     * Returns the team of the connection: {@code NAME} if {@code application_name} is {@code team:NAME}, else the user.
+     * The prefix is required because drivers put their own name into {@code application_name}.
      */
-    private String team() throws PgException {
+    private String parseTeam() throws PgException {
         String user = "";
-        int at = 4;
-        while (at < in.size() - 1) {
-            int nameEnd = in.stringEnd(at);
-            int valueEnd = in.stringEnd(nameEnd + 1);
-            String name = new String(in.bytes(at, nameEnd - at), StandardCharsets.UTF_8);
-            String value = new String(in.bytes(nameEnd + 1, valueEnd - nameEnd - 1), StandardCharsets.UTF_8);
+        int offset = 4;
+        while (offset < input.bodySize() - 1) {
+            int nameEnd = input.stringEnd(offset);
+            int valueEnd = input.stringEnd(nameEnd + 1);
+            String name = new String(input.copyBytes(offset, nameEnd - offset), StandardCharsets.UTF_8);
+            String value = new String(input.copyBytes(nameEnd + 1, valueEnd - nameEnd - 1), StandardCharsets.UTF_8);
             if (name.equals("application_name") && value.startsWith("team:")) {
                 return value.substring("team:".length());
             }
             user = name.equals("user") ? value : user;
-            at = valueEnd + 1;
+            offset = valueEnd + 1;
         }
         return user;
     }
 
-    private void command() throws PgException {
-        int type = in.type();
-        if (skipping && type != 'S' && type != 'X') {
-            return; // after an error the extended protocol goes on at Sync
+    private void handleCommand() throws PgException {
+        int type = input.type();
+        if (skipUntilSync && type != 'S' && type != 'X') {
+            return; // after an error, the extended query protocol discards messages until Sync
         }
         switch (type) {
-            case 'Q' -> query();
+            case 'Q' -> handleQuery();
             case 'X' -> close();
             case 'S' -> {
-                skipping = false;
-                reply(Messages.readyForQuery());
+                skipUntilSync = false;
+                queueReply(Messages.readyForQuery());
             }
             case 'P', 'B', 'E', 'D', 'C' -> {
-                skipping = true;
-                reply(Messages.error("ERROR", "0A000", "only simple queries are spoken", null));
+                skipUntilSync = true;
+                queueReply(Messages.errorResponse("ERROR", "0A000", "only simple queries are spoken", null));
             }
             case 'F' ->
-                reply(Messages.join(
-                        Messages.error("ERROR", "0A000", "function calls are not spoken", null),
+                queueReply(Messages.join(
+                        Messages.errorResponse("ERROR", "0A000", "function calls are not spoken", null),
                         Messages.readyForQuery()));
-            case 'H', 'd', 'c', 'f' -> {} // Flush, and the end of a copy that was never begun: no answer is due
+            case 'H', 'd', 'c', 'f' -> {} // Flush, and copy messages though no copy was begun: no reply is due
             default -> throw new PgException("08P01", "message type " + type + " is unknown");
         }
     }
 
-    private void query() throws PgException {
-        int end = in.stringEnd(0);
-        if (end != in.size() - 1) {
+    private void handleQuery() throws PgException {
+        int end = input.stringEnd(0);
+        if (end != input.bodySize() - 1) {
             throw new PgException("08P01", "malformed query message");
         }
-        byte[] statement = in.bytes(0, end);
-        if (blank(statement)) {
-            Pending empty = new Pending(-1, true);
-            pending.add(empty);
+        byte[] statement = input.copyBytes(0, end);
+        if (isBlank(statement)) {
+            PendingReply emptyReply = new PendingReply(-1, true);
+            pendingReplies.add(emptyReply);
             if (peer.ready()) {
-                give(empty, Messages.join(Messages.emptyQuery(), Messages.readyForQuery()));
+                complete(emptyReply, Messages.join(Messages.emptyQueryResponse(), Messages.readyForQuery()));
             }
-            flush();
+            flushReplies();
             return;
         }
-        Pending waits = new Pending(slots++, false);
-        pending.add(waits);
+        PendingReply reply = new PendingReply(nextSlot++, false);
+        pendingReplies.add(reply);
         try {
-            peer.request(waits.slot, PgStatement.parse(statement).by(team));
+            peer.request(reply.slot, PgStatement.parse(statement).by(team));
         } catch (PgException e) {
-            give(
-                    waits,
-                    Messages.join(Messages.error("ERROR", e.sqlState, e.getMessage(), null), Messages.readyForQuery()));
-            flush();
+            complete(
+                    reply,
+                    Messages.join(
+                            Messages.errorResponse("ERROR", e.sqlState, e.getMessage(), null),
+                            Messages.readyForQuery()));
+            flushReplies();
         }
     }
 
-    private static boolean blank(byte[] statement) {
-        for (byte b : statement) {
-            if (b > ' ' && b != ';') {
+    private static boolean isBlank(byte[] statement) {
+        for (byte character : statement) {
+            if (character > ' ' && character != ';') {
                 return false;
             }
         }
         return true;
     }
 
-    private void reply(byte[] answer) {
-        Pending now = new Pending(-1, false);
-        give(now, answer);
-        pending.add(now);
-        flush();
+    private void queueReply(byte[] bytes) {
+        PendingReply reply = new PendingReply(-1, false);
+        complete(reply, bytes);
+        pendingReplies.add(reply);
+        flushReplies();
     }
 
     @Override
     public void answer(long slot, Answer answer) {
-        for (Pending p : pending) {
-            if (p.slot == slot && p.answer == null) {
-                give(p, word(answer));
+        for (PendingReply reply : pendingReplies) {
+            if (reply.slot == slot && reply.bytes == null) {
+                complete(reply, encode(answer));
                 break;
             }
         }
-        flushAndGoOn();
+        flushAndContinue();
     }
 
-    private void flushAndGoOn() {
+    private void flushAndContinue() {
         boolean wasCongested = congested();
-        flush();
-        if (wasCongested && !yielded) {
-            yielded = true; // not at once: the answer may come from within a request
+        flushReplies();
+        if (wasCongested && !proceedScheduled) {
+            proceedScheduled = true; // not read here: the answer may come while its request is being handed over
             peer.proceedLater();
         }
     }
 
-    private static byte[] word(Answer answer) {
+    private static byte[] encode(Answer answer) {
         byte[] body;
         if (answer instanceof Answer.Served served) {
             body = served.value();
         } else if (answer instanceof Answer.Refused refused) {
-            body = Messages.error(
+            body = Messages.errorResponse(
                     "ERROR",
                     "53300",
                     "no server has room, try again",
                     refused.comeBackMillis() > 0 ? Long.toString(refused.comeBackMillis()) : null);
         } else if (answer instanceof Answer.Cancelled) {
-            body = Messages.error("ERROR", "57014", "canceling statement due to user request", null);
+            body = Messages.errorResponse("ERROR", "57014", "canceling statement due to user request", null);
         } else if (answer instanceof Answer.Failed failed) {
-            body = Messages.error("ERROR", "58000", failed.why(), null);
+            body = Messages.errorResponse("ERROR", "58000", failed.why(), null);
         } else {
-            body = Messages.error("ERROR", "22023", ((Answer.Invalid) answer).why(), null);
+            body = Messages.errorResponse("ERROR", "22023", ((Answer.Invalid) answer).why(), null);
         }
         return Messages.join(body, Messages.readyForQuery());
     }
 
     @Override
     public void cancel() {
-        for (Pending p : pending) {
-            if (p.answer == null && p.slot >= 0) {
-                peer.takeBack(p.slot);
+        for (PendingReply reply : pendingReplies) {
+            if (reply.bytes == null && reply.slot >= 0) {
+                peer.takeBack(reply.slot);
                 return;
             }
         }
@@ -241,26 +245,26 @@
 
     @Override
     public void ready() {
-        for (Pending p : pending) {
-            if (p.awaitsReady && p.answer == null) {
-                give(p, Messages.join(Messages.emptyQuery(), Messages.readyForQuery()));
+        for (PendingReply reply : pendingReplies) {
+            if (reply.awaitsReady && reply.bytes == null) {
+                complete(reply, Messages.join(Messages.emptyQueryResponse(), Messages.readyForQuery()));
             }
         }
-        flushAndGoOn();
+        flushAndContinue();
     }
 
-    private void give(Pending command, byte[] answer) {
-        command.answer = answer;
-        unwritten += answer.length;
+    private void complete(PendingReply reply, byte[] bytes) {
+        reply.bytes = bytes;
+        unwrittenBytes += bytes.length;
     }
 
-    private void flush() {
-        while (!pending.isEmpty() && pending.peek().answer != null) {
-            byte[] answer = pending.poll().answer;
-            unwritten -= answer.length;
-            peer.write(answer);
+    private void flushReplies() {
+        while (!pendingReplies.isEmpty() && pendingReplies.peek().bytes != null) {
+            byte[] bytes = pendingReplies.poll().bytes;
+            unwrittenBytes -= bytes.length;
+            peer.write(bytes);
         }
-        if (closed && pending.isEmpty()) {
+        if (closed && pendingReplies.isEmpty()) {
             peer.close();
         }
     }
@@ -272,59 +276,59 @@
 
     @Override
     public int waiting() {
-        return pending.size();
+        return pendingReplies.size();
     }
 
     @Override
     public int held() {
-        return in.held();
+        return input.unreadSize();
     }
 
     @Override
     public boolean isNext(long slot) {
-        return !pending.isEmpty() && pending.peek().slot == slot;
+        return !pendingReplies.isEmpty() && pendingReplies.peek().slot == slot;
     }
 
     @Override
     public long unwritten() {
-        return unwritten;
+        return unwrittenBytes;
     }
 
     @Override
     public boolean congested() {
-        return yielded || pending.size() >= MOST_WAITING;
+        return proceedScheduled || pendingReplies.size() >= PENDING_REPLY_LIMIT;
     }
 
     @Override
     public void turnAway() {
-        fatal("53300", "too many connections");
+        failConnection("53300", "too many connections");
     }
 
     @Override
     public void abandon() {
-        byte[] failed = word(new Answer.Failed("the router failed to handle the connection"));
-        for (Pending p : pending) {
-            if (p.answer == null) {
-                give(p, failed);
+        byte[] failure = encode(new Answer.Failed("the router failed to handle the connection"));
+        for (PendingReply reply : pendingReplies) {
+            if (reply.bytes == null) {
+                complete(reply, failure);
             }
         }
-        fatal("58000", "the router failed to handle the connection");
+        failConnection("58000", "the router failed to handle the connection");
     }
 
     @Override
     public void expire() {
-        fatal("08P01", "the rest of the message has not come");
+        failConnection("08P01", "the rest of the message has not come");
     }
 
-    /** Ends the conversation with an error, after the answers still owed. */
-    private void fatal(String sqlState, String text) {
-        reply(Messages.error("FATAL", sqlState, text, null));
+    /** Ends the connection with an error, sent after the replies that are still pending. */
+    private void failConnection(String sqlState, String text) {
+        queueReply(Messages.errorResponse("FATAL", sqlState, text, null));
         close();
     }
 
     private void close() {
         closed = true;
-        in.clear(); // nothing more is read
-        flush();
+        input.clear(); // nothing more is read, so the buffer is released
+        flushReplies();
     }
 }
--- a/router/src/main/java/stoatrill/pg/PgException.java
+++ b/router/src/main/java/stoatrill/pg/PgException.java
@@ -1,6 +1,6 @@
 package stoatrill.pg;
 
-/** Input that can't be answered as asked; carries the SQLSTATE for the peer. */
+/** Thrown for input that is malformed or not supported; carries the SQLSTATE to report to the client. */
 final class PgException extends Exception {
     private static final long serialVersionUID = 1L;
     final String sqlState;
--- a/router/src/main/java/stoatrill/pg/PgServer.java
+++ b/router/src/main/java/stoatrill/pg/PgServer.java
@@ -12,38 +12,39 @@
 import stoatrill.core.Statement;
 import stoatrill.net.ServerProtocol;
 
-/** A connection to a server: startup, then one query or probe at a time. */
+/** Protocol of a connection to a server: startup, then one query or probe at a time. */
 public final class PgServer implements ServerProtocol {
-    /** A value holds 64 KiB at most, and no other message is nearly as long. */
-    private static final int LONGEST_ROW = (64 << 10) + 64;
+    /** A value holds at most 64 KiB; no other message comes near that size. */
+    private static final int MAX_ROW_BYTES = (64 << 10) + 64;
 
-    private static final int LONGEST_OTHER = 8 << 10;
-    private static final int LONGEST_ANSWER = LONGEST_ROW + 4 * LONGEST_OTHER;
-    private static final int LONGEST_NUMBER = 24;
-    private static final int COLUMN = 18; // bytes that describe a column, after its name
+    private static final int MAX_OTHER_MESSAGE_BYTES = 8 << 10;
+    private static final int MAX_ANSWER_BYTES = MAX_ROW_BYTES + 4 * MAX_OTHER_MESSAGE_BYTES;
+    private static final int MAX_NUMBER_CHARS = 24;
+    private static final int COLUMN_DESCRIPTION_BYTES = 18; // the fixed-size fields after a column's name
 
-    /** How far the answer has come. */
-    private enum Part {
-        GREETING,
-        RESTING,
-        ASKED,
-        COLUMNS,
-        ROW,
-        DONE,
-        ENDED
+    /** The state of the connection and of the answer that is being read. */
+    private enum Phase {
+        STARTUP,
+        IDLE,
+        QUERY_SENT,
+        COLUMNS_READ,
+        ROW_READ,
+        COMPLETE,
+        CLOSED
     }
 
-    private final MessageReader in = new MessageReader(true, LONGEST_ROW);
+    private final MessageReader input = new MessageReader(true, MAX_ROW_BYTES);
     private final Peer peer;
-    private Part part = Part.GREETING;
-    private boolean probing;
-    private int taken;
-    private final ByteArrayOutputStream value = new ByteArrayOutputStream();
-    private String error;
+    private Phase phase = Phase.STARTUP;
+    private boolean isProbe;
+    private int answerSize;
+    private final ByteArrayOutputStream answerMessages = new ByteArrayOutputStream();
+    private String errorSqlState;
     private Role role = Role.UNKNOWN;
-    private long position = -1;
+    private long positionMillis = -1;
     private Map<String, Double> report;
 
+    /** Creates the protocol of one connection, which reports its events to {@code peer}. */
     public PgServer(Peer peer) {
         this.peer = peer;
     }
@@ -55,129 +56,136 @@
 
     @Override
     public byte[] query(Statement statement, long waitMillis) {
-        asked(false);
+        beginQuery(false);
         return Messages.query(statement.withWait(waitMillis));
     }
 
     @Override
     public byte[] probe() {
-        asked(true);
+        beginQuery(true);
         return Messages.query("SHOW usage".getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void asked(boolean probe) {
-        clear();
-        part = Part.ASKED;
-        probing = probe;
+    private void beginQuery(boolean probe) {
+        resetAnswer();
+        phase = Phase.QUERY_SENT;
+        isProbe = probe;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (part == Part.RESTING) {
+        if (phase == Phase.IDLE) {
             bytes.position(bytes.limit());
-            end(Break.ENDED); // nothing was asked: whatever this is, it would be taken for the next answer
+            reportBroken(Break.ENDED); // no query is outstanding: the bytes would be read as the next answer
             return;
         }
-        in.append(bytes);
+        input.append(bytes);
         try {
-            while (part != Part.ENDED && part != Part.RESTING && expects(in.begins()) && in.next()) {
-                message();
+            while (phase != Phase.CLOSED
+                    && phase != Phase.IDLE
+                    && beginsExpectedMessage(input.peekType())
+                    && input.readNext()) {
+                handleMessage();
             }
         } catch (PgException e) {
-            end(Break.SPOILT);
+            reportBroken(Break.SPOILT);
         }
     }
 
     /**
-     * Whether a message has begun that may come here; its length is then bounded by what it is. Guards against
-     * noise taken for a length, and waiting for, or keeping, gigabytes that were only announced.
+     * Checks that the next message's type is allowed in this phase, and limits its length by its type. Without the
+     * limit, garbage read as a length field would make the router wait for, or buffer, gigabytes that never arrive.
+     *
+     * @return whether a message has begun
+     * @throws PgException if its type is not allowed in this phase
      */
-    private boolean expects(int type) throws PgException {
-        boolean fits =
+    private boolean beginsExpectedMessage(int type) throws PgException {
+        boolean isAllowed =
                 switch (type) {
                     case -1, 'S', 'N', 'E' -> true;
-                    case 'R', 'K' -> part == Part.GREETING;
-                    case 'T' -> part == Part.ASKED;
-                    case 'D' -> part == Part.COLUMNS;
-                    case 'C' -> part == Part.ROW;
-                    case 'Z' -> part == Part.GREETING || part == Part.DONE;
+                    case 'R', 'K' -> phase == Phase.STARTUP;
+                    case 'T' -> phase == Phase.QUERY_SENT;
+                    case 'D' -> phase == Phase.COLUMNS_READ;
+                    case 'C' -> phase == Phase.ROW_READ;
+                    case 'Z' -> phase == Phase.STARTUP || phase == Phase.COMPLETE;
                     default -> false;
                 };
-        if (!fits || (type == 'E' && (error != null || part == Part.DONE))) {
-            throw new PgException("08P01", "message type " + type + " does not belong here");
+        if (!isAllowed || (type == 'E' && (errorSqlState != null || phase == Phase.COMPLETE))) {
+            throw new PgException("08P01", "message type " + type + " is not allowed in this phase");
         }
-        in.expect(true, type == 'D' ? LONGEST_ROW : LONGEST_OTHER);
+        input.setFraming(true, type == 'D' ? MAX_ROW_BYTES : MAX_OTHER_MESSAGE_BYTES);
         return type >= 0;
     }
 
-    private void message() throws PgException {
-        taken += in.size();
-        require(taken <= LONGEST_ANSWER);
-        switch (in.type()) {
-            case 'R' -> require(in.size() == 4 && in.int32(0) == 0); // it asks for no password
-            case 'S' -> parameter();
+    private void handleMessage() throws PgException {
+        answerSize += input.bodySize();
+        require(answerSize <= MAX_ANSWER_BYTES);
+        switch (input.type()) {
+            case 'R' -> require(input.bodySize() == 4 && input.int32(0) == 0); // only AuthenticationOk, no password
+            case 'S' -> handleParameter();
             case 'T' -> {
-                require(in.int16(0) == 1 && in.size() == in.stringEnd(2) + 1 + COLUMN);
-                keep(Part.COLUMNS);
+                require(input.int16(0) == 1 && input.bodySize() == input.stringEnd(2) + 1 + COLUMN_DESCRIPTION_BYTES);
+                keepMessage(Phase.COLUMNS_READ);
             }
             case 'D' -> {
-                require(in.int16(0) == 1 && in.int32(2) >= 0 && in.int32(2) == in.size() - 6);
-                keep(Part.ROW);
-                if (probing) {
-                    report = fields(new String(in.bytes(6, in.size() - 6), StandardCharsets.UTF_8));
+                require(input.int16(0) == 1 && input.int32(2) >= 0 && input.int32(2) == input.bodySize() - 6);
+                keepMessage(Phase.ROW_READ);
+                if (isProbe) {
+                    report = parseReport(new String(input.copyBytes(6, input.bodySize() - 6), StandardCharsets.UTF_8));
                 }
             }
             case 'C' -> {
-                require(in.stringEnd(0) == in.size() - 1);
-                keep(Part.DONE);
+                require(input.stringEnd(0) == input.bodySize() - 1);
+                keepMessage(Phase.COMPLETE);
             }
             case 'E' -> {
-                String state = sqlState();
-                // Guards uploads: once it had begun to answer, it can't have turned the request away untouched.
-                error = part == Part.GREETING || part == Part.ASKED ? state : "XX000";
-                part = part == Part.GREETING ? part : Part.DONE;
+                String state = parseSqlState();
+                // After the answer has begun, no SQLSTATE proves that the statement did not run: an upload that may
+                // have run must not be repeated.
+                errorSqlState = phase == Phase.STARTUP || phase == Phase.QUERY_SENT ? state : "XX000";
+                phase = phase == Phase.STARTUP ? phase : Phase.COMPLETE;
             }
             case 'Z' -> {
-                require(in.size() == 1 && in.bytes(0, 1)[0] == 'I');
-                ready();
+                require(input.bodySize() == 1 && input.copyBytes(0, 1)[0] == 'I');
+                handleReady();
             }
-            default -> {} // notices, and the key for cancels
+            default -> {} // notices, and the key for cancel requests
         }
     }
 
-    private static void require(boolean holds) throws PgException {
-        if (!holds) {
+    private static void require(boolean condition) throws PgException {
+        if (!condition) {
             throw new PgException("08P01", "malformed message");
         }
     }
 
-    private void keep(Part next) {
-        value.writeBytes(in.whole());
-        part = next;
+    private void keepMessage(Phase nextPhase) {
+        answerMessages.writeBytes(input.copyMessage());
+        phase = nextPhase;
     }
 
-    private void parameter() throws PgException {
-        int nameEnd = in.stringEnd(0);
-        String name = new String(in.bytes(0, nameEnd), StandardCharsets.UTF_8);
-        int valueEnd = in.stringEnd(nameEnd + 1);
-        require(valueEnd == in.size() - 1);
-        String text = new String(in.bytes(nameEnd + 1, valueEnd - nameEnd - 1), StandardCharsets.UTF_8);
+    private void handleParameter() throws PgException {
+        int nameEnd = input.stringEnd(0);
+        String name = new String(input.copyBytes(0, nameEnd), StandardCharsets.UTF_8);
+        int valueEnd = input.stringEnd(nameEnd + 1);
+        require(valueEnd == input.bodySize() - 1);
+        String text = new String(input.copyBytes(nameEnd + 1, valueEnd - nameEnd - 1), StandardCharsets.UTF_8);
         switch (name) {
             case "server_role" ->
                 role = text.equals("writer") ? Role.PRIMARY : text.equals("reader") ? Role.REPLICA : Role.UNKNOWN;
-            case "commit_clock" -> position = number(text, false) ? Long.parseLong(text) : -1;
-            case "usage" -> report = fields(text);
+            case "commit_clock" -> positionMillis = isPlainNumber(text, false) ? Long.parseLong(text) : -1;
+            case "usage" -> report = parseReport(text);
             default -> {}
         }
     }
 
-    /** A load report, {@code name=value} joined by commas; null, as if it had not come, if it can't be read. */
-    private static Map<String, Double> fields(String text) {
+    /** Parses a load report, {@code name=value} pairs joined by commas; null, as for no report, if it is malformed. */
+    private static Map<String, Double> parseReport(String text) {
         Map<String, Double> fields = new HashMap<>();
         for (String field : text.split(",", -1)) {
             int equals = field.indexOf('=');
             String value = field.substring(equals + 1);
-            if (equals <= 0 || !number(value, true)) {
+            if (equals <= 0 || !isPlainNumber(value, true)) {
                 return null;
             }
             fields.put(field.substring(0, equals), Double.parseDouble(value));
@@ -185,87 +193,87 @@
         return fields;
     }
 
-    /** Whether this is a plain number; what else Java would read, such as NaN, no server means. */
-    private static boolean number(String text, boolean fraction) {
-        int points = 0;
+    /** Returns whether the text is digits with an optional point; rejects other forms that Java parses, such as NaN. */
+    private static boolean isPlainNumber(String text, boolean allowsFraction) {
+        int decimalPoints = 0;
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            points += c == '.' ? 1 : 0;
-            if (c != '.' && (c < '0' || c > '9')) {
+            char character = text.charAt(i);
+            decimalPoints += character == '.' ? 1 : 0;
+            if (character != '.' && (character < '0' || character > '9')) {
                 return false;
             }
         }
-        int most = fraction ? LONGEST_NUMBER : 18;
-        return points <= (fraction ? 1 : 0) && text.length() > points && text.length() <= most;
+        int maxLength = allowsFraction ? MAX_NUMBER_CHARS : 18;
+        return decimalPoints <= (allowsFraction ? 1 : 0) && text.length() > decimalPoints && text.length() <= maxLength;
     }
 
-    private String sqlState() throws PgException {
+    private String parseSqlState() throws PgException {
         String state = null;
-        int at = 0;
-        while (in.bytes(at, 1)[0] != 0) {
-            int end = in.stringEnd(at + 1);
-            if (in.bytes(at, 1)[0] == 'C') {
-                state = new String(in.bytes(at + 1, end - at - 1), StandardCharsets.US_ASCII);
+        int offset = 0;
+        while (input.copyBytes(offset, 1)[0] != 0) {
+            int end = input.stringEnd(offset + 1);
+            if (input.copyBytes(offset, 1)[0] == 'C') {
+                state = new String(input.copyBytes(offset + 1, end - offset - 1), StandardCharsets.US_ASCII);
             }
-            at = end + 1;
+            offset = end + 1;
         }
-        require(at == in.size() - 1 && state != null && state.matches("[0-9A-Z]{5}"));
+        require(offset == input.bodySize() - 1 && state != null && state.matches("[0-9A-Z]{5}"));
         return state;
     }
 
-    private void ready() throws PgException {
-        if (part == Part.GREETING) {
-            require(error == null && !in.partial());
-            part = Part.RESTING;
+    private void handleReady() throws PgException {
+        if (phase == Phase.STARTUP) {
+            require(errorSqlState == null && !input.hasUnreadBytes());
+            phase = Phase.IDLE;
             peer.connectedToServer();
             return;
         }
-        // Bytes behind a whole answer: it stands, but the connection can't be trusted with the next.
-        boolean reusable = !in.partial();
-        part = reusable ? Part.RESTING : Part.ENDED;
-        answer(reusable);
+        // Bytes after a complete answer: the answer counts, but the connection is not used for another query.
+        boolean reusable = !input.hasUnreadBytes();
+        phase = reusable ? Phase.IDLE : Phase.CLOSED;
+        deliverAnswer(reusable);
     }
 
-    private void answer(boolean reusable) {
-        ServerAnswer answer = new ServerAnswer(result(), role, position, report, value.toByteArray());
-        clear();
+    private void deliverAnswer(boolean reusable) {
+        ServerAnswer answer = new ServerAnswer(result(), role, positionMillis, report, answerMessages.toByteArray());
+        resetAnswer();
         peer.answered(answer, reusable);
     }
 
     private Result result() {
-        if (error == null) {
+        if (errorSqlState == null) {
             return Result.OK;
         }
-        return switch (error) {
+        return switch (errorSqlState) {
             case "25006", "72000" -> Result.MISS;
             case "53300" -> Result.FULL;
-            case "57P03" -> probing ? Result.FULL : Result.ERROR;
+            case "57P03" -> isProbe ? Result.FULL : Result.ERROR;
             default -> Result.ERROR;
         };
     }
 
-    private void clear() {
-        value.reset();
-        taken = 0;
-        error = null;
+    private void resetAnswer() {
+        answerMessages.reset();
+        answerSize = 0;
+        errorSqlState = null;
         role = Role.UNKNOWN;
-        position = -1;
+        positionMillis = -1;
         report = null;
     }
 
-    /** The connection ends; an answer that was already whole still counts. */
+    /** The connection has ended; an answer that was already complete still counts. */
     @Override
     public void ended() {
-        if (part == Part.DONE && !in.partial()) {
-            part = Part.ENDED;
-            answer(false);
-        } else if (part != Part.ENDED) {
-            end(part == Part.GREETING && "53300".equals(error) ? Break.FULL : Break.ENDED);
+        if (phase == Phase.COMPLETE && !input.hasUnreadBytes()) {
+            phase = Phase.CLOSED;
+            deliverAnswer(false);
+        } else if (phase != Phase.CLOSED) {
+            reportBroken(phase == Phase.STARTUP && "53300".equals(errorSqlState) ? Break.FULL : Break.ENDED);
         }
     }
 
-    private void end(Break how) {
-        part = Part.ENDED;
-        peer.broken(how);
+    private void reportBroken(Break cause) {
+        phase = Phase.CLOSED;
+        peer.broken(cause);
     }
 }
--- a/router/src/main/java/stoatrill/pg/PgStatement.java
+++ b/router/src/main/java/stoatrill/pg/PgStatement.java
@@ -5,79 +5,86 @@
 import stoatrill.core.ClientRequest;
 import stoatrill.core.Statement;
 
-/** A statement with its comment of names and values; everything but {@code d} goes on as it came. */
+/** A statement with its trailing comment of name=value pairs; all but the value of {@code d} is forwarded unchanged. */
 final class PgStatement implements Statement {
     private final byte[] text;
-    private final int waitFrom;
-    private final int waitTo;
+    private final int waitStart;
+    private final int waitEnd;
 
-    private PgStatement(byte[] text, int waitFrom, int waitTo) {
+    private PgStatement(byte[] text, int waitStart, int waitEnd) {
         this.text = text;
-        this.waitFrom = waitFrom;
-        this.waitTo = waitTo;
+        this.waitStart = waitStart;
+        this.waitEnd = waitEnd;
     }
 
     @Override
     public byte[] withWait(long waitMillis) {
         return Messages.join(
-                Arrays.copyOf(text, waitFrom),
+                Arrays.copyOf(text, waitStart),
                 Long.toString(waitMillis).getBytes(StandardCharsets.US_ASCII),
-                Arrays.copyOfRange(text, waitTo, text.length));
+                Arrays.copyOfRange(text, waitEnd, text.length));
     }
 
-    /** Reads a client's statement, {@code SELECT} or {@code INSERT}, closed by the comment. */
+    /**
+     * Parses a client's statement, a {@code SELECT} or {@code INSERT} that ends with the comment.
+     *
+     * @throws PgException with the SQLSTATE to report if the statement or its comment is not accepted
+     */
     static ClientRequest parse(byte[] statement) throws PgException {
-        String text = new String(statement, StandardCharsets.ISO_8859_1); // one character a byte
-        int open = text.lastIndexOf("/*");
-        int close = text.lastIndexOf("*/");
-        boolean reads = startsWith(text, "SELECT");
-        boolean writes = startsWith(text, "INSERT");
-        if (!reads && !writes) {
+        String text = new String(
+                statement, StandardCharsets.ISO_8859_1); // one character per byte, so that offsets are the same
+        int commentStart = text.lastIndexOf("/*");
+        int commentEnd = text.lastIndexOf("*/");
+        boolean isSelect = startsWith(text, "SELECT");
+        boolean isInsert = startsWith(text, "INSERT");
+        if (!isSelect && !isInsert) {
             throw new PgException("0A000", "only SELECT and INSERT are routed");
         }
-        if (open < 0 || close < open || !text.substring(close + 2).isBlank()) {
+        if (commentStart < 0
+                || commentEnd < commentStart
+                || !text.substring(commentEnd + 2).isBlank()) {
             throw new PgException("42601", "the statement does not end with its comment of id, c and d");
         }
-        if (several(text.substring(0, open))) {
-            // Guards uploads: a second statement could write under a class whose requests may be repeated.
+        if (hasSecondStatement(text.substring(0, commentStart))) {
+            // A second statement could write under a class whose requests may be repeated.
             throw new PgException("42601", "only one statement is taken at a time");
         }
         String id = null;
-        String kind = null;
-        long wait = -1;
-        long after = 0;
+        String requestClass = null;
+        long waitMillis = -1;
+        long afterMillis = 0;
         int group = 0;
-        int waitFrom = 0;
-        int waitTo = 0;
-        boolean repeat = false;
+        int waitStart = 0;
+        int waitEnd = 0;
+        boolean isRepeat = false;
         String team = "";
-        int at = open + 2;
-        while (at < close) {
-            int comma = text.indexOf(',', at);
-            int end = comma < 0 || comma > close ? close : comma;
-            int equals = text.indexOf('=', at);
+        int offset = commentStart + 2;
+        while (offset < commentEnd) {
+            int comma = text.indexOf(',', offset);
+            int end = comma < 0 || comma > commentEnd ? commentEnd : comma;
+            int equals = text.indexOf('=', offset);
             if (equals < 0 || equals >= end) {
                 throw new PgException("42601", "the comment has a part without a value");
             }
-            String name = text.substring(at, equals).trim();
+            String name = text.substring(offset, equals).trim();
             String value = text.substring(equals + 1, end).trim();
             switch (name) {
                 case "id" -> id = value;
-                case "c" -> kind = value;
+                case "c" -> requestClass = value;
                 case "d" -> {
-                    wait = number(name, value, Long.MAX_VALUE);
-                    waitFrom = text.indexOf(value, equals + 1);
-                    waitTo = waitFrom + value.length();
+                    waitMillis = parseNumber(name, value, Long.MAX_VALUE);
+                    waitStart = text.indexOf(value, equals + 1);
+                    waitEnd = waitStart + value.length();
                 }
-                case "cluster" -> group = (int) number(name, value, Integer.MAX_VALUE);
-                case "after" -> after = number(name, value, Long.MAX_VALUE / 1_000_000);
-                case "r" -> repeat = value.equals("1");
+                case "cluster" -> group = (int) parseNumber(name, value, Integer.MAX_VALUE);
+                case "after" -> afterMillis = parseNumber(name, value, Long.MAX_VALUE / 1_000_000);
+                case "r" -> isRepeat = value.equals("1");
                 case "team" -> team = value;
-                default -> {} // names of later versions
+                default -> {} // ignored: later versions may add names
             }
-            at = end + 1;
+            offset = end + 1;
         }
-        if (id == null || kind == null || wait < 0) {
+        if (id == null || requestClass == null || waitMillis < 0) {
             throw new PgException("42601", "the comment lacks id, c or d");
         }
         if (!id.matches("[0-9A-Za-z_.:-]{1,64}")) {
@@ -85,53 +92,53 @@
         }
         return new ClientRequest(
                 id,
-                kind,
-                key(text.substring(0, open)),
+                requestClass,
+                firstLiteral(text.substring(0, commentStart)),
                 group,
-                wait,
-                after,
-                repeat,
-                writes,
-                new PgStatement(statement, waitFrom, waitTo),
+                waitMillis,
+                afterMillis,
+                isRepeat,
+                isInsert,
+                new PgStatement(statement, waitStart, waitEnd),
                 team);
     }
 
-    /** Whether anything follows a semicolon that is not part of a literal. */
-    private static boolean several(String text) {
-        boolean quoted = false;
+    /** Returns whether anything but white space follows the first semicolon outside a literal. */
+    private static boolean hasSecondStatement(String text) {
+        boolean isQuoted = false;
         for (int i = 0; i < text.length(); i++) {
-            quoted ^= text.charAt(i) == '\'';
-            if (text.charAt(i) == ';' && !quoted) {
+            isQuoted ^= text.charAt(i) == '\'';
+            if (text.charAt(i) == ';' && !isQuoted) {
                 return !text.substring(i + 1).isBlank();
             }
         }
         return false;
     }
 
-    private static boolean startsWith(String text, String verb) {
-        int at = 0;
-        while (at < text.length() && Character.isWhitespace(text.charAt(at))) {
-            at++;
+    private static boolean startsWith(String text, String keyword) {
+        int offset = 0;
+        while (offset < text.length() && Character.isWhitespace(text.charAt(offset))) {
+            offset++;
         }
-        return text.regionMatches(true, at, verb, 0, verb.length());
+        return text.regionMatches(true, offset, keyword, 0, keyword.length());
     }
 
-    private static long number(String name, String value, long most) throws PgException {
+    private static long parseNumber(String name, String value, long max) throws PgException {
         try {
             long number = Long.parseLong(value);
-            if (number >= 0 && number <= most) {
+            if (number >= 0 && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
         throw new PgException("22023", name + " is no number in range");
     }
 
-    /** The first quoted literal; empty if there is none. */
-    private static String key(String text) {
-        int from = text.indexOf('\'');
-        int to = text.indexOf('\'', from + 1);
-        return from < 0 || to < 0 ? "" : text.substring(from + 1, to);
+    /** Returns the first quoted literal; empty if there is none. */
+    private static String firstLiteral(String text) {
+        int openQuote = text.indexOf('\'');
+        int closeQuote = text.indexOf('\'', openQuote + 1);
+        return openQuote < 0 || closeQuote < 0 ? "" : text.substring(openQuote + 1, closeQuote);
     }
 }
--- a/router/src/main/java/stoatrill/pg/package-info.java
+++ b/router/src/main/java/stoatrill/pg/package-info.java
@@ -1,2 +1,2 @@
-/** Version 3 of PostgreSQL's wire protocol, both sides, read piece by piece. */
+/** Version 3 of PostgreSQL's wire protocol, client and server side, parsed incrementally. */
 package stoatrill.pg;
--- a/router/src/main/java/stoatrill/startup/ClassPreloader.java
+++ b/router/src/main/java/stoatrill/startup/ClassPreloader.java
@@ -13,17 +13,17 @@
 import stoatrill.discovery.ServerList;
 
 /**
- * Loads and initializes every class that a router may come to need, before it takes its first request. Guards requests
- * from files that can't be read later: a class that fails to load once is never tried again by the code that needs it.
- * The platform's own classes are mapped into memory from the start and need no call.
+ * Loads and initializes every class that a router may need, before it accepts its first request. If a file could not
+ * be read later, requests would fail for good: code that needs a class does not retry one that once failed to load.
+ * The platform's own classes are mapped into memory from the start, so loading them takes no system call.
  */
 public final class ClassPreloader {
-    private static final String SUFFIX = ".class";
-    private static final String ROOT = "stoatrill";
-    /** Packages that a router which serves has no use for. */
-    private static final Set<String> OTHERS = Set.of("stoatrill.cli", "stoatrill.homes", "stoatrill.wire");
-    /** A list with every kind of value, and one that is broken off, to load what reading lists takes. */
-    private static final List<String> LISTS = List.of(
+    private static final String CLASS_FILE_SUFFIX = ".class";
+    private static final String ROOT_PACKAGE = "stoatrill";
+    /** Packages that a serving router does not use. */
+    private static final Set<String> EXCLUDED_PACKAGES = Set.of("stoatrill.cli", "stoatrill.homes", "stoatrill.wire");
+    /** A list with every kind of value and several malformed ones: parsing them loads the classes that parsing uses. */
+    private static final List<String> SAMPLE_LISTS = List.of(
             "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"127.0.0.1:1\",\"az\":null,"
                     + "\"capacity_hint\":1.5,\"boot_ms\":0,\"state\":\"Ready\"}]}",
             "{\"rev\":1,\"targets\":[{\"uid\":",
@@ -32,10 +32,10 @@
             "[]");
 
     /**
-     * Classes of the platform that failed calls take. The first reads a file of the platform's when it is initialized,
-     * and is of no more use if it can't.
+     * Platform classes that are used when system calls fail. The first reads a platform file when it is initialized,
+     * and is unusable afterwards if it can't.
      */
-    private static final List<String> PLATFORM = List.of(
+    private static final List<String> PLATFORM_CLASSES = List.of(
             "sun.net.util.SocketExceptions",
             "sun.net.ConnectionResetException",
             "java.net.SocketException",
@@ -50,10 +50,10 @@
     private ClassPreloader() {}
 
     /**
-     * Loads the classes.
+     * Loads and initializes the classes.
      *
-     * @return how many were loaded
-     * @throws IOException if one can't be read; what was loaded stays so, and another call loads the rest
+     * @return the number of the router's own classes that were loaded
+     * @throws IOException if a class can't be read; those already loaded stay loaded, and another call loads the rest
      */
     public static int load() throws IOException {
         Path source = Path.of(ClassPreloader.class
@@ -61,29 +61,29 @@
                 .getCodeSource()
                 .getLocation()
                 .getPath());
-        List<String> names = Files.isDirectory(source) ? inDirectory(source) : inJar(source);
+        List<String> names = Files.isDirectory(source) ? namesInDirectory(source) : namesInJar(source);
         int loaded = 0;
         for (String name : names) {
-            if (serves(name)) {
+            if (isNeeded(name)) {
                 load(name);
                 loaded++;
             }
         }
-        for (String list : LISTS) {
-            read(list);
+        for (String list : SAMPLE_LISTS) {
+            parseSample(list);
         }
-        for (String name : PLATFORM) {
-            loadIfThere(name);
+        for (String name : PLATFORM_CLASSES) {
+            loadIfPresent(name);
         }
         return loaded;
     }
 
-    /** Loads a class that other versions of the platform may lack. */
-    private static void loadIfThere(String name) throws IOException {
+    /** Loads a class that some versions of the platform lack. */
+    private static void loadIfPresent(String name) throws IOException {
         try {
             Class<?> unused = Class.forName(name);
         } catch (ClassNotFoundException e) {
-            // nothing else needs it then
+            // this platform does not use it either
         } catch (LinkageError e) {
             throw new IOException("class " + name + " can't be loaded", e);
         }
@@ -97,20 +97,22 @@
         }
     }
 
-    private static void read(String list) {
+    private static void parseSample(String list) {
         try {
             ServerList unused = ServerList.parse(list);
         } catch (ServerList.BadListException e) {
-            // as meant: what tells of it is loaded now
+            // expected for the malformed lists: this has loaded the classes that report the error
         }
     }
 
-    private static boolean serves(String name) {
+    private static boolean isNeeded(String name) {
         String packageName = name.substring(0, Math.max(0, name.lastIndexOf('.')));
-        return packageName.startsWith(ROOT) && !OTHERS.contains(packageName) && !name.endsWith("package-info");
+        return packageName.startsWith(ROOT_PACKAGE)
+                && !EXCLUDED_PACKAGES.contains(packageName)
+                && !name.endsWith("package-info");
     }
 
-    private static List<String> inJar(Path jar) throws IOException {
+    private static List<String> namesInJar(Path jar) throws IOException {
         List<String> names = new ArrayList<>();
         try (JarFile file = new JarFile(jar.toFile())) {
             for (Enumeration<JarEntry> entries = file.entries(); entries.hasMoreElements(); ) {
@@ -120,7 +122,7 @@
         return names;
     }
 
-    private static List<String> inDirectory(Path directory) throws IOException {
+    private static List<String> namesInDirectory(Path directory) throws IOException {
         List<String> names = new ArrayList<>();
         try (Stream<Path> files = Files.walk(directory)) {
             files.forEach(file -> addClass(
@@ -134,8 +136,9 @@
     }
 
     private static void addClass(String file, List<String> names) {
-        if (file.endsWith(SUFFIX)) {
-            names.add(file.substring(0, file.length() - SUFFIX.length()).replace('/', '.'));
+        if (file.endsWith(CLASS_FILE_SUFFIX)) {
+            names.add(file.substring(0, file.length() - CLASS_FILE_SUFFIX.length())
+                    .replace('/', '.'));
         }
     }
 }
--- a/router/src/main/java/stoatrill/startup/Retry.java
+++ b/router/src/main/java/stoatrill/startup/Retry.java
@@ -3,50 +3,51 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.LongSupplier;
 
-/** Does again for a bounded time what fails for a moment, with pauses that double. */
+/** Retries a transient failure for a bounded time, with exponential backoff. */
 public final class Retry {
-    private static final long FIRST_PAUSE_NANOS = 5_000_000L;
-    private static final long LONGEST_PAUSE_NANOS = 200_000_000L;
+    private static final long INITIAL_PAUSE_NANOS = 5_000_000L;
+    private static final long MAX_PAUSE_NANOS = 200_000_000L;
 
     private Retry() {}
 
-    /** Something that may fail. */
-    public interface Attempt<T, E extends Exception> {
-        /** Does it once. */
+    /** An operation that may fail. */
+    public interface Operation<T, E extends Exception> {
+        /** Performs the operation once. */
         T run() throws E;
     }
 
     /**
-     * Does it until it succeeds, for so long at most.
+     * Repeats an operation until it succeeds or the time limit has passed.
      *
-     * @param nanos how long to go on, by the monotonic clock
-     * @param passes whether a failure is one that may pass
-     * @return what the attempt that succeeded gave
-     * @throws E the last failure, once the time is over, or one that does not pass
+     * @param limitNanos the time after which no failure is retried, by the monotonic clock
+     * @param isTransient whether a failure may be transient and is worth a retry
+     * @return the result of the run that succeeded
+     * @throws E the last failure after the time limit, or a failure that is not transient
      */
     public static <T, E extends Exception> T within(
-            long nanos, java.util.function.Predicate<? super Exception> passes, Attempt<T, E> attempt) throws E {
-        return within(nanos, passes, attempt, System::nanoTime);
+            long limitNanos, java.util.function.Predicate<? super Exception> isTransient, Operation<T, E> operation)
+            throws E {
+        return within(limitNanos, isTransient, operation, System::nanoTime);
     }
 
     static <T, E extends Exception> T within(
-            long nanos,
-            java.util.function.Predicate<? super Exception> passes,
-            Attempt<T, E> attempt,
+            long limitNanos,
+            java.util.function.Predicate<? super Exception> isTransient,
+            Operation<T, E> operation,
             LongSupplier clock)
             throws E {
-        long began = clock.getAsLong();
-        long pause = FIRST_PAUSE_NANOS;
+        long startedAt = clock.getAsLong();
+        long pauseNanos = INITIAL_PAUSE_NANOS;
         while (true) {
             try {
-                return attempt.run();
+                return operation.run();
             } catch (Exception e) {
-                if (!passes.test(e) || clock.getAsLong() - began >= nanos) {
+                if (!isTransient.test(e) || clock.getAsLong() - startedAt >= limitNanos) {
                     throw e;
                 }
             }
-            LockSupport.parkNanos(pause);
-            pause = Math.min(LONGEST_PAUSE_NANOS, 2 * pause);
+            LockSupport.parkNanos(pauseNanos);
+            pauseNanos = Math.min(MAX_PAUSE_NANOS, 2 * pauseNanos);
         }
     }
 }
--- a/router/src/main/java/stoatrill/startup/Signals.java
+++ b/router/src/main/java/stoatrill/startup/Signals.java
@@ -5,32 +5,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handlers for the signals of the process. The virtual machine's only way to a signal is a class that javac warns of
- * whenever it is named, so it is reached by name at run time. Each signal is handled on a thread of its own, which the
- * virtual machine starts; where the system refuses that thread, the virtual machine says so and the signal is lost.
+ * Installs handlers for operating system signals. The virtual machine's only interface to signals is a class that javac
+ * warns about wherever it is named, so it is called by reflection. The virtual machine starts a new thread to handle
+ * each signal; if the system refuses that thread, the virtual machine reports it and the signal is lost.
  */
 public final class Signals {
     private Signals() {}
 
     /**
-     * Handles a signal from now on.
+     * Installs a handler for a signal.
      *
-     * <p>A signal that was ignored when the virtual machine started stays ignored: the machine installs no handler for
-     * it and says so by the previous handler alone. {@code nohup} starts programs that way.
+     * <p>A signal that was ignored when the virtual machine started stays ignored: the virtual machine installs no
+     * handler for it, and only the previous handler that it returns shows this. {@code nohup} starts programs that way.
      *
-     * @param name as in {@code HUP}
+     * @param name the signal's name without its prefix, such as {@code HUP}
+     * @param action runs on a new thread each time the signal arrives
      */
-    public static void handle(String name, Runnable then) {
+    public static void handle(String name, Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object calls = Proxy.newProxyInstance(
+            Object handlerProxy = Proxy.newProxyInstance(
                     Signals.class.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
-                        then.run();
+                        action.run();
                         return null;
                     });
             Object previous = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance(name), calls);
+                    .invoke(null, signal.getConstructor(String.class).newInstance(name), handlerProxy);
             if (previous == handler.getField("SIG_IGN").get(null)) {
                 log().warn(
                                 "SIG{} was ignored when this process was started and stays so: it has no effect; start"
@@ -39,11 +40,12 @@
                                 name);
             }
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
-            log().warn("SIG{} is not handled here: {}", name, e.toString());
+            log().warn("no handler for SIG{} could be installed: {}", name, e.toString());
         }
     }
 
     private static Logger log() {
-        return LoggerFactory.getLogger(Signals.class); // not before the library of the logs was chosen
+        return LoggerFactory.getLogger(
+                Signals.class); // looked up here because the logging library is chosen after this class is loaded
     }
 }
--- a/router/src/main/java/stoatrill/startup/package-info.java
+++ b/router/src/main/java/stoatrill/startup/package-info.java
@@ -1,2 +1,2 @@
-/** What a router does once before it listens, so that it needs no file afterwards. Knows no request and no socket. */
+/** What a router does once before it listens, so that it reads no file afterwards. Handles no requests or sockets. */
 package stoatrill.startup;
--- a/router/src/main/java/stoatrill/wire/Loop.java
+++ b/router/src/main/java/stoatrill/wire/Loop.java
@@ -11,88 +11,93 @@
 import stoatrill.Decide;
 import stoatrill.Gateway;
 
-/** Hosts many instances of the module: reads batches, hands out their events, writes the replies. */
+/** Hosts many instances of the module: reads batches, passes their events to the instances, and writes the replies. */
 public final class Loop {
-    private static final int ENTRY = 28;
-    private static final int SLOTS = 16;
-    private static final long MILLI = 1_000_000L;
+    private static final int MEMBER_BYTES = 28;
+    private static final int LIST_SLOT_COUNT = 16;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final FrameReader in;
-    private final OutputStream out;
+    private final BatchReader input;
+    private final OutputStream output;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Gateway.Member>> sheets = new ArrayList<>();
+    private final List<List<Gateway.Member>> memberLists = new ArrayList<>();
 
-    /** A loop over these streams; it closes neither. */
-    public Loop(InputStream in, OutputStream out) {
-        this.in = new FrameReader(in);
-        this.out = out;
-        for (int i = 0; i < SLOTS; i++) {
-            sheets.add(null);
+    /** Creates a loop over these streams, which it does not close. */
+    public Loop(InputStream input, OutputStream output) {
+        this.input = new BatchReader(input);
+        this.output = output;
+        for (int i = 0; i < LIST_SLOT_COUNT; i++) {
+            memberLists.add(null);
         }
     }
 
-    /** Answers batches until the input ends. */
+    /**
+     * Answers batches until the input ends.
+     *
+     * @throws MalformedInputException if the input violates the protocol
+     */
     public void run() throws IOException {
-        while (in.next()) {
-            batch();
-            reply.flush(out);
+        while (input.readBatch()) {
+            handleBatch();
+            reply.flush(output);
         }
     }
 
-    private void batch() throws MalformedInputException {
+    private void handleBatch() throws MalformedInputException {
         try {
-            long now = in.u64();
-            int who = -1;
-            while (in.hasMore()) {
-                int code = in.code();
+            long now = input.u64();
+            int instanceNumber = -1;
+            while (input.hasMore()) {
+                int code = input.readCode();
                 if (code == 120) {
-                    who = in.u32();
+                    instanceNumber = input.u32();
                 } else if (code == 110) {
-                    sheet();
-                } else if (who < 0) {
-                    throw in.malformed("event " + code + " before any AT");
+                    readMemberList();
+                } else if (instanceNumber < 0) {
+                    throw input.malformed("event " + code + " before the first AT");
                 } else if (code == 10) {
-                    create(who);
+                    createInstance(instanceNumber);
                 } else if (code == 100) {
-                    instances.remove(who);
+                    instances.remove(instanceNumber);
                 } else {
-                    Instance instance = instances.get(who);
+                    Instance instance = instances.get(instanceNumber);
                     if (instance == null) {
-                        throw in.malformed("event " + code + " for instance " + who + ", which is not up");
+                        throw input.malformed(
+                                "event " + code + " for instance " + instanceNumber + ", which does not exist");
                     }
-                    event(instance, now, code);
+                    handleEvent(instance, now, code);
                 }
             }
         } catch (BufferUnderflowException e) {
-            throw in.truncated(e);
+            throw input.truncated(e);
         }
     }
 
-    private void create(int who) throws MalformedInputException {
-        long seed = in.u64();
-        SettingsParser.Setup setup = SettingsParser.parse(in.text(in.count(1)));
-        Instance instance = new Instance(who, setup, reply);
-        instances.put(who, instance);
-        instance.guarded(() -> instance.module = new Decide(instance, setup.settings(), seed));
+    private void createInstance(int instanceNumber) throws MalformedInputException {
+        long seed = input.u64();
+        SettingsParser.Setup setup = SettingsParser.parse(input.text(input.count(1)));
+        Instance instance = new Instance(instanceNumber, setup, reply);
+        instances.put(instanceNumber, instance);
+        instance.runGuarded(() -> instance.module = new Decide(instance, setup.settings(), seed));
     }
 
-    private void sheet() throws MalformedInputException {
-        int slot = in.u32();
-        if (slot >= SLOTS) {
-            throw in.malformed("list number " + slot);
+    private void readMemberList() throws MalformedInputException {
+        int slot = input.u32();
+        if (slot >= LIST_SLOT_COUNT) {
+            throw input.malformed("invalid list number " + slot);
         }
-        int n = in.count(ENTRY);
-        List<Gateway.Member> members = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
-            boolean leader = in.f32() == 1f;
-            int model = in.u8();
-            long startedAt = in.u64();
-            double size = in.f32();
-            int zone = in.u16();
-            long server = in.server();
-            int group = in.u16();
-            int state = in.u8();
+        int count = input.count(MEMBER_BYTES);
+        List<Gateway.Member> members = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            boolean isPrimary = input.f32() == 1f;
+            int model = input.u8();
+            long startedAt = input.u64();
+            double size = input.f32();
+            int zone = input.u16();
+            long server = input.server();
+            int group = input.u16();
+            int state = input.u8();
             members.add(new Gateway.Member(
                     server,
                     group,
@@ -100,102 +105,104 @@
                     model,
                     size,
                     startedAt,
-                    leader,
+                    isPrimary,
                     switch (state) {
                         case 0 -> Gateway.State.READY;
                         case 2 -> Gateway.State.DRAINING;
                         case 3 -> Gateway.State.GONE;
-                        default -> throw in.malformed("server state " + state);
+                        default -> throw input.malformed("unknown server state " + state);
                     }));
         }
-        sheets.set(slot, members);
+        memberLists.set(slot, members);
     }
 
-    private void event(Instance to, long now, int code) throws MalformedInputException {
+    private void handleEvent(Instance instance, long now, int code) throws MalformedInputException {
         switch (code) {
-            case 20 -> {
-                int mode = in.u8();
-                in.u32Long();
+            case 20 -> { // list of servers
+                int kindCode = input.u8();
+                input.u32Long();
                 Gateway.ListKind kind =
-                        switch (mode) {
+                        switch (kindCode) {
                             case 0 -> Gateway.ListKind.DELTA;
                             case 1 -> Gateway.ListKind.FULL;
                             case 2 -> Gateway.ListKind.CACHED;
                             case 3 -> Gateway.ListKind.FAILED;
-                            default -> throw in.malformed("list kind " + mode);
+                            default -> throw input.malformed("unknown list kind " + kindCode);
                         };
-                long slot = in.u32Long();
+                long slot = input.u32Long();
                 List<Gateway.Member> members = List.of();
                 if (kind != Gateway.ListKind.FAILED) {
-                    members = slot < SLOTS ? sheets.get((int) slot) : null;
+                    members = slot < LIST_SLOT_COUNT ? memberLists.get((int) slot) : null;
                     if (members == null) {
-                        throw in.malformed("no list with number " + slot);
+                        throw input.malformed("no list with number " + slot);
                     }
                 }
                 List<Gateway.Member> list = members;
-                to.guarded(() -> to.module.members(now, kind, list));
+                instance.runGuarded(() -> instance.module.members(now, kind, list));
             }
-            case 30 -> {
-                long id = in.u64();
-                long key = in.u64();
-                int group = (int) in.f32();
-                long deadline = in.u64();
-                in.u64();
-                long tokenAge = (long) Math.floor((double) in.f32() * MILLI);
-                int marks = in.u8();
-                int tenant = in.u32();
-                int kind = in.u16();
-                if (kind >= to.settings.classes().size()) {
-                    throw in.malformed("request class " + kind);
+            case 30 -> { // request
+                long id = input.u64();
+                long key = input.u64();
+                int group = (int) input.f32();
+                long deadline = input.u64();
+                input.u64();
+                long tokenAge = (long) Math.floor((double) input.f32() * NANOS_PER_MILLI);
+                int flags = input.u8();
+                int tenant = input.u32();
+                int kind = input.u16();
+                if (kind >= instance.settings.classes().size()) {
+                    throw input.malformed("unknown request class " + kind);
                 }
-                if (tenant > 0 && tenant >= to.settings.tenants().size()) {
-                    throw in.malformed("tenant " + tenant);
+                if (tenant > 0 && tenant >= instance.settings.tenants().size()) {
+                    throw input.malformed("unknown tenant " + tenant);
                 }
-                to.guarded(() ->
-                        to.module.request(now, id, key, group, deadline, tokenAge, (marks & 2) != 0, kind, tenant));
+                instance.runGuarded(() -> instance.module.request(
+                        now, id, key, group, deadline, tokenAge, (flags & 2) != 0, kind, tenant));
             }
-            case 40 -> {
-                long id = in.u64();
-                in.u64();
-                int attempt = in.u8();
-                long server = in.server();
-                to.guarded(() -> to.module.begun(now, id, attempt, server));
+            case 40 -> { // streamed answer has begun
+                long id = input.u64();
+                input.u64();
+                int attempt = input.u8();
+                long server = input.server();
+                instance.runGuarded(() -> instance.module.begun(now, id, attempt, server));
             }
-            case 50 -> {
-                long id = in.u64();
-                int attempt = in.u8();
-                long server = in.server();
-                Gateway.Result result = result(in.u16());
-                long took = in.u64();
-                boolean over = in.bool();
-                long note = in.u32Long();
-                Gateway.Report report = to.report(in.report());
-                long position = note >>> 2 == 0 ? Gateway.NO_POSITION : to.zero + (note >>> 2) * MILLI;
-                Gateway.Role role = role((int) (note & 3));
-                to.guarded(
-                        () -> to.module.outcome(now, id, attempt, server, result, took, over, position, role, report));
+            case 50 -> { // outcome of an attempt
+                long id = input.u64();
+                int attempt = input.u8();
+                long server = input.server();
+                Gateway.Result result = result(input.u16());
+                long tookNanos = input.u64();
+                boolean isRequestOver = input.bool();
+                long positionAndRole = input.u32Long();
+                Gateway.Report report = instance.report(input.report());
+                long position = positionAndRole >>> 2 == 0
+                        ? Gateway.NO_POSITION
+                        : instance.positionOrigin + (positionAndRole >>> 2) * NANOS_PER_MILLI;
+                Gateway.Role role = role((int) (positionAndRole & 3));
+                instance.runGuarded(() -> instance.module.outcome(
+                        now, id, attempt, server, result, tookNanos, isRequestOver, position, role, report));
             }
-            case 60 -> {
-                long id = in.u64();
-                to.guarded(() -> to.module.left(now, id));
+            case 60 -> { // client has left
+                long id = input.u64();
+                instance.runGuarded(() -> instance.module.left(now, id));
             }
-            case 70 -> {
-                long token = in.u64();
-                to.guarded(() -> to.module.timer(now, token));
+            case 70 -> { // timer is due
+                long token = input.u64();
+                instance.runGuarded(() -> instance.module.timer(now, token));
             }
-            case 80 -> {
-                long server = in.server();
-                long took = in.u64();
-                Gateway.Result result = result(in.u16());
-                Gateway.Report report = to.report(in.report());
-                to.guarded(() -> to.module.probed(now, server, took, result, report));
+            case 80 -> { // result of a probe
+                long server = input.server();
+                long tookNanos = input.u64();
+                Gateway.Result result = result(input.u16());
+                Gateway.Report report = instance.report(input.report());
+                instance.runGuarded(() -> instance.module.probed(now, server, tookNanos, result, report));
             }
-            case 90 -> {
-                int from = in.u32();
-                byte[] message = in.bytes(in.u16());
-                to.guarded(() -> to.module.peer(now, from, message));
+            case 90 -> { // message from a peer
+                int from = input.u32();
+                byte[] message = input.bytes(input.u16());
+                instance.runGuarded(() -> instance.module.peer(now, from, message));
             }
-            default -> throw in.malformed("unknown event code " + code);
+            default -> throw input.malformed("unknown event code " + code);
         }
     }
 
@@ -210,7 +217,7 @@
             case 70 -> Gateway.Result.CANCELLED;
             case 80 -> Gateway.Result.MOOT;
             case 90 -> Gateway.Result.MISS;
-            default -> throw in.malformed("unknown outcome " + code);
+            default -> throw input.malformed("unknown outcome " + code);
         };
     }
 
@@ -218,34 +225,37 @@
         return code == 1 ? Gateway.Role.PRIMARY : code == 2 ? Gateway.Role.REPLICA : Gateway.Role.UNKNOWN;
     }
 
-    /** One instance: carries the module's actions into the reply. */
+    /** One instance of the module; adds its actions to the reply. */
     private static final class Instance implements Gateway {
-        private final int who;
+        private final int number;
         private final Settings settings;
-        private final long zero;
-        private final List<String> columns;
+        private final long positionOrigin;
+        private final List<String> reportColumns;
         private final ReplyWriter reply;
         private Decide module;
 
-        Instance(int who, SettingsParser.Setup setup, ReplyWriter reply) {
-            this.who = who;
+        Instance(int number, SettingsParser.Setup setup, ReplyWriter reply) {
+            this.number = number;
             this.settings = setup.settings();
-            this.zero = setup.zero();
-            this.columns = setup.columns();
+            this.positionOrigin = setup.positionOrigin();
+            this.reportColumns = setup.reportColumns();
             this.reply = reply;
         }
 
-        /** Runs an event; a failure of the module ends the run with its text instead of killing the process. */
-        void guarded(Runnable event) {
+        /**
+         * Runs an event. An exception of the module goes out as an internal error, which ends the run but not the
+         * process.
+         */
+        void runGuarded(Runnable event) {
             try {
                 event.run();
             } catch (RuntimeException e) {
                 StackTraceElement[] trace = e.getStackTrace();
-                reply.internalError(who, e + (trace.length > 0 ? " at " + trace[0] : ""));
+                reply.internalError(number, e + (trace.length > 0 ? " at " + trace[0] : ""));
             }
         }
 
-        /** A report in the module's terms; its position is rounded down, since it is a lower bound. */
+        /** Converts a load report for the module; its position is a lower bound and therefore rounded down. */
         Report report(float[] values) {
             if (values == null) {
                 return null;
@@ -254,9 +264,9 @@
             Role role = Role.UNKNOWN;
             double waiting = -1;
             double held = -1;
-            for (int i = 0; i < values.length && i < columns.size(); i++) {
-                switch (columns.get(i)) {
-                    case "x0" -> position = zero + (long) Math.floor(Math.nextDown(values[i]) * 1e9);
+            for (int i = 0; i < values.length && i < reportColumns.size(); i++) {
+                switch (reportColumns.get(i)) {
+                    case "x0" -> position = positionOrigin + (long) Math.floor(Math.nextDown(values[i]) * 1e9);
                     case "x1" -> role = values[i] == 1f ? Role.PRIMARY : Role.REPLICA;
                     case "q" -> waiting = values[i];
                     case "rif" -> held = values[i];
@@ -267,58 +277,58 @@
         }
 
         @Override
-        public void send(long request, long server, long timeout) {
-            reply.send(who, request, server, timeout);
+        public void send(long request, long server, long timeoutNanos) {
+            reply.send(number, request, server, timeoutNanos);
         }
 
         @Override
-        public void refuse(long request, long comeBack) {
-            reply.refuse(who, request, comeBack);
+        public void refuse(long request, long retryAfterNanos) {
+            reply.refuse(number, request, retryAfterNanos);
         }
 
         @Override
         public void fail(long request) {
-            reply.fail(who, request);
+            reply.fail(number, request);
         }
 
         @Override
         public void cancel(long request, int attempt) {
-            reply.cancel(who, request, attempt);
+            reply.cancel(number, request, attempt);
         }
 
         @Override
-        public void timer(long span, long token) {
-            reply.timer(who, span, token);
+        public void timer(long delayNanos, long token) {
+            reply.timer(number, delayNanos, token);
         }
 
         @Override
         public void probe(long server) {
-            reply.probe(who, server);
+            reply.probe(number, server);
         }
 
         @Override
         public void dropIdle(long server) {
-            reply.dropIdle(who, server);
+            reply.dropIdle(number, server);
         }
 
         @Override
         public void tell(int peer, byte[] message) {
-            reply.tell(who, peer, message);
+            reply.tell(number, peer, message);
         }
 
         @Override
-        public void follow(boolean on) {
-            reply.follow(who, on);
+        public void follow(boolean enabled) {
+            reply.follow(number, enabled);
         }
 
         @Override
         public void fetch() {
-            reply.fetch(who);
+            reply.fetch(number);
         }
 
         @Override
         public void log(String line) {
-            reply.log(who, line);
+            reply.log(number, line);
         }
     }
 }
--- a/router/src/main/java/stoatrill/wire/ReplyWriter.java
+++ b/router/src/main/java/stoatrill/wire/ReplyWriter.java
@@ -7,29 +7,29 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects the actions of one reply and writes it. */
+/** Collects the actions of one reply, and writes the reply. */
 final class ReplyWriter {
-    private static final int HEADER = 8;
-    private static final int LONGEST_TEXT = 0xffff;
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_TEXT_BYTES = 0xffff;
 
     private ByteBuffer reply =
-            ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN).position(HEADER);
-    private int records;
-    private int current = -1;
-
-    /** Starts an action of an instance. */
-    private void begin(int instance, int code, int size) {
-        room(size + 6);
-        if (instance != current) {
+            ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN).position(HEADER_BYTES);
+    private int recordCount;
+    private int currentInstance = -1;
+
+    /** Starts an action of an instance, after a record that selects the instance if it differs from the last. */
+    private void beginAction(int instance, int code, int size) {
+        ensureCapacity(size + 6);
+        if (instance != currentInstance) {
             reply.put((byte) 130).putInt(instance);
-            current = instance;
-            records++;
+            currentInstance = instance;
+            recordCount++;
         }
         reply.put((byte) code);
-        records++;
+        recordCount++;
     }
 
-    private void room(int size) {
+    private void ensureCapacity(int size) {
         if (reply.remaining() < size) {
             int capacity = Math.max(2 * reply.capacity(), reply.position() + size);
             reply = ByteBuffer.wrap(Arrays.copyOf(reply.array(), capacity))
@@ -38,83 +38,83 @@
         }
     }
 
-    private void server(long server) {
+    private void putServer(long server) {
         reply.putInt(Integer.reverseBytes((int) (server >>> 16))).putShort((short) server);
     }
 
-    void send(int instance, long request, long server, long timeout) {
-        begin(instance, 10, 22);
+    void send(int instance, long request, long server, long timeoutNanos) {
+        beginAction(instance, 10, 22);
         reply.putLong(request);
-        server(server);
-        reply.putLong(timeout);
+        putServer(server);
+        reply.putLong(timeoutNanos);
     }
 
-    void refuse(int instance, long request, long comeBack) {
-        begin(instance, 20, 16);
-        reply.putLong(request).putLong(comeBack);
+    void refuse(int instance, long request, long retryAfterNanos) {
+        beginAction(instance, 20, 16);
+        reply.putLong(request).putLong(retryAfterNanos);
     }
 
     void fail(int instance, long request) {
-        begin(instance, 30, 8);
+        beginAction(instance, 30, 8);
         reply.putLong(request);
     }
 
     void cancel(int instance, long request, int attempt) {
-        begin(instance, 40, 9);
+        beginAction(instance, 40, 9);
         reply.putLong(request).put((byte) attempt);
     }
 
-    void timer(int instance, long span, long token) {
-        begin(instance, 50, 16);
-        reply.putLong(span).putLong(token);
+    void timer(int instance, long delayNanos, long token) {
+        beginAction(instance, 50, 16);
+        reply.putLong(delayNanos).putLong(token);
     }
 
     void probe(int instance, long server) {
-        begin(instance, 60, 6);
-        server(server);
+        beginAction(instance, 60, 6);
+        putServer(server);
     }
 
     void dropIdle(int instance, long server) {
-        begin(instance, 70, 6);
-        server(server);
+        beginAction(instance, 70, 6);
+        putServer(server);
     }
 
     void tell(int instance, int peer, byte[] message) {
-        begin(instance, 80, 4 + message.length);
+        beginAction(instance, 80, 4 + message.length);
         reply.putShort((short) peer).putShort((short) message.length).put(message);
     }
 
-    void follow(int instance, boolean on) {
-        begin(instance, 110, 1);
-        reply.put((byte) (on ? 1 : 0));
+    void follow(int instance, boolean enabled) {
+        beginAction(instance, 110, 1);
+        reply.put((byte) (enabled ? 1 : 0));
     }
 
     void fetch(int instance) {
-        begin(instance, 120, 0);
+        beginAction(instance, 120, 0);
     }
 
     void log(int instance, String line) {
-        text(instance, 90, line);
+        putText(instance, 90, line);
     }
 
-    void internalError(int instance, String what) {
-        text(instance, 100, what);
+    void internalError(int instance, String description) {
+        putText(instance, 100, description);
     }
 
-    private void text(int instance, int code, String text) {
+    private void putText(int instance, int code, String text) {
         byte[] content = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(content.length, LONGEST_TEXT);
-        begin(instance, code, 2 + length);
+        int length = Math.min(content.length, MAX_TEXT_BYTES);
+        beginAction(instance, code, 2 + length);
         reply.putShort((short) length).put(content, 0, length);
     }
 
-    /** Writes the reply, flushes, and starts an empty one. */
-    void flush(OutputStream out) throws IOException {
-        reply.putInt(0, records).putInt(4, reply.position() - HEADER);
-        out.write(reply.array(), 0, reply.position());
-        out.flush();
-        reply.position(HEADER);
-        records = 0;
-        current = -1;
+    /** Writes the reply, flushes the stream, and starts an empty reply. */
+    void flush(OutputStream output) throws IOException {
+        reply.putInt(0, recordCount).putInt(4, reply.position() - HEADER_BYTES);
+        output.write(reply.array(), 0, reply.position());
+        output.flush();
+        reply.position(HEADER_BYTES);
+        recordCount = 0;
+        currentInstance = -1;
     }
 }
--- a/router/src/main/java/stoatrill/wire/SettingsParser.java
+++ b/router/src/main/java/stoatrill/wire/SettingsParser.java
@@ -17,10 +17,10 @@
 import stoatrill.Gateway.Settings;
 import stoatrill.Gateway.Tenant;
 
-/** Turns the settings' path=value lines into records. Keys that are not known are skipped. */
+/** Parses the path=value lines of the settings into records. Unknown keys are skipped. */
 public final class SettingsParser {
-    /** Attempts a request has room for: more would only cost memory, since each takes a server of its own. */
-    private static final long MOST_ATTEMPTS = 1024;
+    /** Limit of attempts per request: more would only cost memory, since each attempt takes a different server. */
+    private static final long MAX_ATTEMPT_COUNT = 1024;
 
     private final Map<String, String> values;
 
@@ -37,92 +37,103 @@
             }
             int equals = trimmed.indexOf('=');
             if (equals < 0) {
-                throw new MalformedInputException("settings: a line without '=': " + trimmed);
+                throw new MalformedInputException("settings: line without '=': " + trimmed);
             }
             values.put(trimmed.substring(0, equals), trimmed.substring(equals + 1));
         }
         return parse(values);
     }
 
-    /** The settings from pairs of path and value. */
+    /**
+     * Parses settings that are given as values by their paths.
+     *
+     * @throws MalformedInputException if a value is missing or not accepted
+     */
     public static Setup parse(Map<String, String> values) throws MalformedInputException {
-        return new SettingsParser(values).setup();
+        return new SettingsParser(values).parseSetup();
     }
 
-    /** What an instance is told at its start, and what the adapter needs to translate for it. */
-    public record Setup(Settings settings, long zero, List<String> columns) {}
+    /**
+     * The settings that an instance is given at its start, and what the adapter needs to translate for it.
+     *
+     * @param positionOrigin the time of log position zero, in nanoseconds
+     * @param reportColumns the names of the values of a load report, in their order
+     */
+    public record Setup(Settings settings, long positionOrigin, List<String> reportColumns) {}
 
-    private Setup setup() throws MalformedInputException {
-        List<RequestClass> classes = classes();
+    private Setup parseSetup() throws MalformedInputException {
+        List<RequestClass> classes = parseClasses();
         List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < count("realms"); i++) {
+        for (int i = 0; i < entryCount("realms"); i++) {
             String path = "realms." + i + ".";
-            tenants.add(new Tenant(required(path + "name"), number(path + "allowancePerS")));
+            tenants.add(new Tenant(required(path + "name"), requiredNumber(path + "allowancePerS")));
         }
         Limits limits = new Limits(
-                yes("allowed.cancel"),
-                yes("allowed.mayProbe"),
-                yes("allowed.peers"),
-                yes("allowed.secondCopies"),
-                yes("allowed.retryAfter"),
-                (int) Math.min(MOST_ATTEMPTS, positive("allowed.maxAttempts")),
-                whole("allowed.maxRetryAfter"));
+                requiredBoolean("allowed.cancel"),
+                requiredBoolean("allowed.mayProbe"),
+                requiredBoolean("allowed.peers"),
+                requiredBoolean("allowed.secondCopies"),
+                requiredBoolean("allowed.retryAfter"),
+                (int) Math.min(MAX_ATTEMPT_COUNT, requiredPositive("allowed.maxAttempts")),
+                requiredWhole("allowed.maxRetryAfter"));
         Rules rules = new Rules(
-                whole("rules.answerSlack"),
-                optional("rules.askWithin", 0),
-                whole("rules.drainGrace"),
-                number("rules.coldFrom"),
-                whole("rules.warmAfter"),
-                number("rules.tipMultiple"),
-                whole("rules.tipAfter"),
+                requiredWhole("rules.answerSlack"),
+                optionalWhole("rules.askWithin", 0),
+                requiredWhole("rules.drainGrace"),
+                requiredNumber("rules.coldFrom"),
+                requiredWhole("rules.warmAfter"),
+                requiredNumber("rules.tipMultiple"),
+                requiredWhole("rules.tipAfter"),
                 !"true".equals(values.get("rules.removalNotBinding")));
         Replication replication = new Replication(
-                word("familyInfo.serverChecks", Map.of("off", Check.NONE, "bounce", Check.REFUSE, "await", Check.WAIT)),
-                optional("familyInfo.holdsFor", 0),
-                yes("familyInfo.progressTold"),
-                word("familyInfo.tokenMode", Map.of("brought", true, "kept", false)),
-                word(
+                parseWord(
+                        "familyInfo.serverChecks",
+                        Map.of("off", Check.NONE, "bounce", Check.REFUSE, "await", Check.WAIT)),
+                optionalWhole("familyInfo.holdsFor", 0),
+                requiredBoolean("familyInfo.progressTold"),
+                parseWord("familyInfo.tokenMode", Map.of("brought", true, "kept", false)),
+                parseWord(
                         "familyInfo.showsRole",
                         Map.of("off", ListedRole.NONE, "trailing", ListedRole.LATE, "static", ListedRole.AT_START)),
-                word("report.how", Map.of("inline", true, "on_probe", false, "off", false)));
+                parseWord("report.how", Map.of("inline", true, "on_probe", false, "off", false)));
         Settings settings = new Settings(
-                (int) whole("me"),
-                (int) positive("replicasOfMe"),
-                (int) whole("zone"),
-                positive("step"),
-                word("discovery", Map.of("on_request", true, "pushed", false)),
-                number("overShareWorth"),
+                (int) requiredWhole("me"),
+                (int) requiredPositive("replicasOfMe"),
+                (int) requiredWhole("zone"),
+                requiredPositive("step"),
+                parseWord("discovery", Map.of("on_request", true, "pushed", false)),
+                requiredNumber("overShareWorth"),
                 limits,
                 rules,
                 replication,
                 List.copyOf(classes),
                 List.copyOf(tenants));
-        String columns = values.getOrDefault("report.columns", "");
+        String reportColumns = values.getOrDefault("report.columns", "");
         return new Setup(
                 settings,
-                wholeOf("familyInfo.zero", values.getOrDefault("familyInfo.zero", "0"), Long.MIN_VALUE),
-                columns.isEmpty() ? List.of() : List.of(columns.split(",", 0)));
+                parseWhole("familyInfo.zero", values.getOrDefault("familyInfo.zero", "0"), Long.MIN_VALUE),
+                reportColumns.isEmpty() ? List.of() : List.of(reportColumns.split(",", 0)));
     }
 
-    private List<RequestClass> classes() throws MalformedInputException {
-        int n = count("classes");
+    private List<RequestClass> parseClasses() throws MalformedInputException {
+        int count = entryCount("classes");
         String[] levels = required("familyInfo.readLevel").split(",", 0);
         String[] bounds = required("familyInfo.oldestData").split(",", 0);
-        if (n < 1 || levels.length < n || bounds.length < n) {
-            throw new MalformedInputException("settings: classes.count is " + n + " where familyInfo.readLevel has "
+        if (count < 1 || levels.length < count || bounds.length < count) {
+            throw new MalformedInputException("settings: classes.count is " + count + " where familyInfo.readLevel has "
                     + levels.length + " and familyInfo.oldestData " + bounds.length
                     + " entries; one of each a class is expected");
         }
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             String path = "classes." + i + ".";
             classes.add(new RequestClass(
                     required(path + "name"),
-                    positive(path + "aim"),
-                    positive(path + "giveUp"),
-                    number(path + "gain"),
-                    number(path + "lateWorth"),
-                    word(
+                    requiredPositive(path + "aim"),
+                    requiredPositive(path + "giveUp"),
+                    requiredNumber(path + "gain"),
+                    requiredNumber(path + "lateWorth"),
+                    parseWord(
                             "familyInfo.readLevel",
                             levels[i],
                             Map.of(
@@ -136,15 +147,15 @@
                                     Need.BOUNDED,
                                     "eventual",
                                     Need.ANY)),
-                    wholeOf("familyInfo.oldestData", bounds[i]),
-                    word(
+                    parseWhole("familyInfo.oldestData", bounds[i]),
+                    parseWord(
                             path + "semantics",
                             Map.of("pure", Effect.SAFE, "token", Effect.KEYED, "side_effect", Effect.UNSAFE)),
-                    word(
+                    parseWord(
                             path + "group",
                             values.getOrDefault(path + "group", "all"),
                             Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.GROUP)),
-                    optional(path + "repeatWindow", 0),
+                    optionalWhole(path + "repeatWindow", 0),
                     "true".equals(values.get(path + "stream"))));
         }
         return classes;
@@ -158,42 +169,42 @@
         return value;
     }
 
-    private int count(String list) throws MalformedInputException {
-        return (int) optional(list + ".count", 0);
+    private int entryCount(String list) throws MalformedInputException {
+        return (int) optionalWhole(list + ".count", 0);
     }
 
-    private long optional(String key, long otherwise) throws MalformedInputException {
+    private long optionalWhole(String key, long defaultValue) throws MalformedInputException {
         String value = values.get(key);
-        return value == null ? otherwise : wholeOf(key, value);
+        return value == null ? defaultValue : parseWhole(key, value);
     }
 
-    private long whole(String key) throws MalformedInputException {
-        return wholeOf(key, required(key));
+    private long requiredWhole(String key) throws MalformedInputException {
+        return parseWhole(key, required(key));
     }
 
-    private static long wholeOf(String key, String value) throws MalformedInputException {
-        return wholeOf(key, value, 0);
+    private static long parseWhole(String key, String value) throws MalformedInputException {
+        return parseWhole(key, value, 0);
     }
 
-    /** A whole number that is at least so much. */
-    private static long wholeOf(String key, String value, long least) throws MalformedInputException {
+    /** Parses a whole number that is at least {@code min}. */
+    private static long parseWhole(String key, String value, long min) throws MalformedInputException {
         try {
             long number = Long.parseLong(value);
-            if (number >= least) {
+            if (number >= min) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
         throw new MalformedInputException(
-                "settings: " + key + " is " + value + "; a whole number from " + least + " on is expected");
+                "settings: " + key + " is " + value + "; a whole number from " + min + " on is expected");
     }
 
-    private long positive(String key) throws MalformedInputException {
-        return wholeOf(key, required(key), 1);
+    private long requiredPositive(String key) throws MalformedInputException {
+        return parseWhole(key, required(key), 1);
     }
 
-    private double number(String key) throws MalformedInputException {
+    private double requiredNumber(String key) throws MalformedInputException {
         String value = required(key);
         try {
             double number = Double.parseDouble(value);
@@ -201,20 +212,20 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
         throw new MalformedInputException("settings: " + key + " is " + value + "; a number from 0 on is expected");
     }
 
-    private boolean yes(String key) throws MalformedInputException {
-        return word(key, Map.of("true", true, "false", false));
+    private boolean requiredBoolean(String key) throws MalformedInputException {
+        return parseWord(key, Map.of("true", true, "false", false));
     }
 
-    private <T> T word(String key, Map<String, T> words) throws MalformedInputException {
-        return word(key, required(key), words);
+    private <T> T parseWord(String key, Map<String, T> words) throws MalformedInputException {
+        return parseWord(key, required(key), words);
     }
 
-    private static <T> T word(String key, String value, Map<String, T> words) throws MalformedInputException {
+    private static <T> T parseWord(String key, String value, Map<String, T> words) throws MalformedInputException {
         T meaning = words.get(value);
         if (meaning == null) {
             throw new MalformedInputException(
--- a/router/src/main/java/stoatrill/wire/package-info.java
+++ b/router/src/main/java/stoatrill/wire/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter between the simulator's wire and the module. It translates and decides nothing. */
+/** The adapter between the simulator's wire protocol and the module. It only translates; it makes no decisions. */
 package stoatrill.wire;
--- a/router/src/test/java/stoatrill/core/FleetWatchTest.java
+++ b/router/src/test/java/stoatrill/core/FleetWatchTest.java
@@ -18,36 +18,40 @@
 import stoatrill.scenario.Scenario;
 
 /**
- * A fleet of routers (discovery client, reducer and module of each) on one clock, before one discovery that takes
- * calls in turn and would need 1.5 s for a call of each, and fails those that wait over 2 s, as was seen on days
- * with 6 routers (257 ms a call). All watches fall silent together, and a server drains.
+ * Simulates a fleet of routers (each its discovery client, reducer and module) on one clock with one discovery service.
+ * The service answers one call at a time, needs 1.5 s for one call of each router, and fails calls that wait for over
+ * 2 s, as was seen on days with 6 routers (257 ms per call). A server begins to drain while watches are silent, while
+ * discovery fails, or around a reload: every router must learn of it in time, and the calls must not overload
+ * discovery.
  */
 class FleetWatchTest {
-    private static final long MS = 1_000_000L;
-    private static final long START = 1_700_000_000_000L * MS;
-    private static final long TURN = 1_500 * MS;
-    /** The version that a call for the whole list says it holds. */
-    private static final long WHOLE_LIST = -1;
-    /** After SIGHUP what discovery has at its new address counts as told so much later. */
-    private static final long MOVED_COUNTS = 4_000 * MS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long START_NANOS = 1_700_000_000_000L * NANOS_PER_MILLI;
+    private static final long FLEET_SERVICE_NANOS = 1_500 * NANOS_PER_MILLI;
+    /** The version of a call without one, which asks for the full list. */
+    private static final long NO_VERSION = -1;
+    /** What discovery has at its new address counts as known to the routers this long after SIGHUP. */
+    private static final long KNOWN_AFTER_MOVE_NANOS = 4_000 * NANOS_PER_MILLI;
 
-    private static final long LONGEST_QUEUE = 2_000 * MS;
+    private static final long MAX_QUEUE_NANOS = 2_000 * NANOS_PER_MILLI;
 
     private final List<Router> routers = new ArrayList<>();
     private final ArrayDeque<Call> queue = new ArrayDeque<>();
-    private final List<Call> parked = new ArrayList<>();
-    private final List<Long> calls = new ArrayList<>();
-    private long now = START;
+    private final List<Call> heldCalls = new ArrayList<>();
+    private final List<Long> callTimes = new ArrayList<>();
+    private long now = START_NANOS;
     private long version = 5;
     private long freeAt;
-    private String meets = "answers";
-    private long longestQueue;
+    private String discoveryBehaviour = "answers";
+    private long longestQueueNanos;
 
-    private record Call(Router router, int connection, long from, long at, long until) {}
+    /** A call in discovery's queue or held by it. */
+    private record Call(Router router, int connection, long fromVersion, long arrivedAt, long holdUntil) {}
 
+    /** A router's discovery client, reducer and module. */
     private final class Router extends QuietEffects implements DiscoveryClient.Peer {
         private final Deadlines deadlines = new Deadlines();
-        private final List<Runnable> later = new ArrayList<>();
+        private final List<Runnable> deferred = new ArrayList<>();
         private final Reducer reducer;
         private final DiscoveryClient client;
         private int connection;
@@ -57,7 +61,7 @@
         Router(Config config, long seed) throws Exception {
             reducer = new Reducer(
                     this,
-                    new Clocks(START, START),
+                    new Clocks(START_NANOS, START_NANOS),
                     deadlines,
                     new Reducer.Setup(
                             config.settings(),
@@ -73,18 +77,18 @@
                     now, ListKind.CACHED, ServerList.parse(config.known()).entries());
         }
 
-        void step() {
-            List<Runnable> due = List.copyOf(later);
-            later.clear();
+        void runTurn() {
+            List<Runnable> due = List.copyOf(deferred);
+            deferred.clear();
             due.forEach(Runnable::run);
             reducer.tick(now);
         }
 
         @Override
         public void open() {
-            int mine = ++connection;
-            later.add(() -> {
-                if (mine == connection) {
+            int openedConnection = ++connection;
+            deferred.add(() -> {
+                if (openedConnection == connection) {
                     client.connected(now);
                 }
             });
@@ -93,42 +97,42 @@
         @Override
         public void send(byte[] request) {
             String line = new String(request, StandardCharsets.US_ASCII);
-            calls.add(now);
-            switch (meets) {
+            callTimes.add(now);
+            switch (discoveryBehaviour) {
                 case "refuses" ->
-                    later.add(() -> client.received(
+                    deferred.add(() -> client.received(
                             now,
                             ByteBuffer.wrap("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"
                                     .getBytes(StandardCharsets.US_ASCII))));
-                case "resets" -> later.add(this::broken);
+                case "resets" -> deferred.add(this::breakConnection);
                 case "says half" ->
-                    later.add(() -> client.received(
+                    deferred.add(() -> client.received(
                             now, ByteBuffer.wrap("HTTP/1.1 200 O".getBytes(StandardCharsets.US_ASCII))));
                 default -> {}
             }
-            if (meets.equals("answers") || meets.equals("queues")) {
+            if (discoveryBehaviour.equals("answers") || discoveryBehaviour.equals("queues")) {
                 queue.add(new Call(
                         this,
                         connection,
-                        number(line, "from", WHOLE_LIST),
+                        queryParameter(line, "from", NO_VERSION),
                         now,
-                        now + MS * number(line, "hold_ms", 0)));
+                        now + NANOS_PER_MILLI * queryParameter(line, "hold_ms", 0)));
             }
         }
 
-        private static long number(String line, String name, long otherwise) {
+        private static long queryParameter(String line, String name, long defaultValue) {
             return line.contains(name + "=")
                     ? Long.parseLong(line.replaceAll("(?s).*" + name + "=(\\d+).*", "$1"))
-                    : otherwise;
+                    : defaultValue;
         }
 
-        /** A new configuration names another address of discovery, as the event loop hands it on. */
-        void move() {
+        /** Changes discovery's address, as the event loop does for a new configuration. */
+        void changeDiscoveryHost() {
             client.move(now, "elsewhere");
             reducer.listMoved(now);
         }
 
-        void broken() {
+        void breakConnection() {
             connection++;
             client.broken(now);
         }
@@ -139,65 +143,66 @@
         }
 
         @Override
-        public void members(long at, ListKind kind, List<ServerEntry> entries) {
-            knownAt = knownAt < 0 && !entries.isEmpty() ? at : knownAt;
-            reducer.members(at, kind, entries);
+        public void members(long receivedAt, ListKind kind, List<ServerEntry> entries) {
+            knownAt = knownAt < 0 && !entries.isEmpty() ? receivedAt : knownAt;
+            reducer.members(receivedAt, kind, entries);
         }
 
         @Override
-        public void watch(boolean on) {
-            later.add(() -> client.follow(now, on));
+        public void watch(boolean enabled) {
+            deferred.add(() -> client.follow(now, enabled));
         }
     }
 
-    private void pass(long millis) {
-        for (long end = now + millis * MS; now < end; ) {
-            now += MS;
-            serve();
-            List.copyOf(parked).forEach(c -> {
-                if (now >= c.until || version > c.from) {
-                    parked.remove(c);
-                    answer(c);
+    private void advance(long millis) {
+        for (long end = now + millis * NANOS_PER_MILLI; now < end; ) {
+            now += NANOS_PER_MILLI;
+            serveQueue();
+            List.copyOf(heldCalls).forEach(call -> {
+                if (now >= call.holdUntil || version > call.fromVersion) {
+                    heldCalls.remove(call);
+                    answerCall(call);
                 }
             });
-            routers.forEach(Router::step);
+            routers.forEach(Router::runTurn);
         }
     }
 
-    /** Discovery takes its calls one after another; one that waited too long costs it nothing. */
-    private void serve() {
+    /** Serves the queued calls one at a time; a call that waited too long is failed, which takes no time. */
+    private void serveQueue() {
         while (!queue.isEmpty()
-                && ((freeAt <= now && meets.equals("answers")) || now - queue.peek().at > LONGEST_QUEUE)) {
-            Call c = queue.poll();
-            if (c.connection != c.router.connection) {
-                continue; // given up meanwhile
+                && ((freeAt <= now && discoveryBehaviour.equals("answers"))
+                        || now - queue.peek().arrivedAt > MAX_QUEUE_NANOS)) {
+            Call call = queue.poll();
+            if (call.connection != call.router.connection) {
+                continue; // abandoned by the router meanwhile
             }
-            if (now - c.at > LONGEST_QUEUE) {
-                longestQueue = now - c.at;
-                reply(c, "503 Busy", "");
+            if (now - call.arrivedAt > MAX_QUEUE_NANOS) {
+                longestQueueNanos = now - call.arrivedAt;
+                reply(call, "503 Busy", "");
                 continue;
             }
-            longestQueue = Math.max(longestQueue, now - c.at);
-            freeAt = now + TURN / routers.size();
-            if (version > c.from || c.until <= now) {
-                answer(c);
+            longestQueueNanos = Math.max(longestQueueNanos, now - call.arrivedAt);
+            freeAt = now + FLEET_SERVICE_NANOS / routers.size();
+            if (version > call.fromVersion || call.holdUntil <= now) {
+                answerCall(call);
             } else {
-                parked.add(c);
+                heldCalls.add(call);
             }
         }
     }
 
-    private void answer(Call c) {
-        String targets = version > c.from && version > 5
+    private void answerCall(Call call) {
+        String targets = version > call.fromVersion && version > 5
                 ? "{\"uid\":\"r1\",\"endpoint\":\"127.0.0.1:1\","
                         + "\"az\":\"north\",\"pod_group\":0,\"state\":\"Terminating\"}"
                 : "";
-        reply(c, "200 OK", "{\"rev\":" + version + ",\"all\":false,\"targets\":[" + targets + "]}");
+        reply(call, "200 OK", "{\"rev\":" + version + ",\"all\":false,\"targets\":[" + targets + "]}");
     }
 
-    private void reply(Call c, String status, String body) {
-        if (c.connection == c.router.connection) {
-            c.router.client.received(
+    private void reply(Call call, String status, String body) {
+        if (call.connection == call.router.connection) {
+            call.router.client.received(
                     now,
                     ByteBuffer.wrap(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.US_ASCII)));
@@ -206,134 +211,140 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 14, 100, 120})
-    void allOfAFleetKnowInTimeAndDiscoveryBearsTheirCalls(int fleet) throws Exception {
+    void fleetLearnsOfDrainInTimeAfterSilentWatches(int routerCount) throws Exception {
         Config config = Config.parse(Scenario.config(), Map.of());
         long grace = config.settings().rules().drainGrace();
-        for (int i = 0; i < fleet; i++) {
+        for (int i = 0; i < routerCount; i++) {
             routers.add(new Router(config, i));
         }
-        pass(8_000); // the start: all call at once, and some more than once
-        assertEquals(fleet, parked.size(), "all watch");
-        parked.forEach(c -> c.router.silentUntil = c.until);
-        parked.clear();
-        pass(300);
-        version++; // the drain
-        calls.clear();
-        longestQueue = 0;
-        long silence = now;
-        pass(30_000);
+        advance(8_000); // startup: all routers call at once, some more than once
+        assertEquals(routerCount, heldCalls.size(), "every router watches");
+        heldCalls.forEach(c -> c.router.silentUntil = c.holdUntil);
+        heldCalls.clear();
+        advance(300);
+        version++; // a server begins to drain
+        callTimes.clear();
+        longestQueueNanos = 0;
+        long silentFrom = now;
+        advance(30_000);
         long worst = Long.MIN_VALUE;
-        for (Router r : routers) {
-            assertTrue(r.knownAt > 0, "a router never knew");
-            long told = Math.min(
-                    Math.max(silence + 6_000 * MS, r.silentUntil + 2_000 * MS),
-                    Math.max(r.silentUntil + 500 * MS, silence + 6_000 * MS)); // a watch given up is a call given up
-            worst = Math.max(worst, r.knownAt - told);
+        for (Router router : routers) {
+            assertTrue(router.knownAt > 0, "a router never learned of the drain");
+            long countsAsKnownAt = Math.min(
+                    Math.max(silentFrom + 6_000 * NANOS_PER_MILLI, router.silentUntil + 2_000 * NANOS_PER_MILLI),
+                    Math.max(
+                            router.silentUntil + 500 * NANOS_PER_MILLI,
+                            silentFrom + 6_000 * NANOS_PER_MILLI)); // an abandoned watch counts as an abandoned call
+            worst = Math.max(worst, router.knownAt - countsAsKnownAt);
         }
-        // What was decided before may still wait 250 ms for its connection: it is to be out within the grace too.
-        assertTrue(worst <= grace - 250 * MS, "known " + worst / MS + " ms after it counted as told");
-        String figures = calls(fleet, 30) + ", the last knows " + worst / MS + " ms after told";
+        // A send decided before may wait 250 ms for its connection, and must also be out within the grace.
+        assertTrue(
+                worst <= grace - 250 * NANOS_PER_MILLI,
+                "known " + worst / NANOS_PER_MILLI + " ms after it counts as known");
+        String figures = callRates(routerCount, 30) + ", the last router knows " + worst / NANOS_PER_MILLI
+                + " ms after it counts as known";
         System.out.println(figures);
         assertTrue(
-                calls.size() / 30.0 / fleet <= 0.5 * 1_000 * MS / TURN,
-                figures + ": over half of what discovery takes");
+                callTimes.size() / 30.0 / routerCount <= 0.5 * 1_000 * NANOS_PER_MILLI / FLEET_SERVICE_NANOS,
+                figures + ": over half of discovery's capacity");
         assertTrue(
-                longestQueue <= Math.max(LONGEST_QUEUE / 2, TURN / fleet),
-                figures + ": a call waited for " + longestQueue / MS + " ms");
+                longestQueueNanos <= Math.max(MAX_QUEUE_NANOS / 2, FLEET_SERVICE_NANOS / routerCount),
+                figures + ": the longest wait of a call is " + longestQueueNanos / NANOS_PER_MILLI + " ms");
     }
 
-    private String calls(int fleet, double seconds) {
+    private String callRates(int routerCount, double seconds) {
         return String.format(
-                "%d routers: %.3f calls a second each, most in a second %d",
-                fleet, calls.size() / seconds / fleet, mostInASecond());
+                "%d routers: %.3f calls per second each, at most %d in a second",
+                routerCount, callTimes.size() / seconds / routerCount, maxCallsInASecond());
     }
 
-    private int mostInASecond() {
-        int most = 0;
-        for (int i = 0, j = 0; i < calls.size(); i++) {
-            while (calls.get(i) - calls.get(j) > 1_000 * MS) {
-                j++;
+    private int maxCallsInASecond() {
+        int max = 0;
+        for (int last = 0, first = 0; last < callTimes.size(); last++) {
+            while (callTimes.get(last) - callTimes.get(first) > 1_000 * NANOS_PER_MILLI) {
+                first++;
             }
-            most = Math.max(most, i - j + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
     /**
-     * A server drains as discovery returns: after calls that failed that counts 6 s later, and the grace comes
-     * then.
+     * A server drains as discovery recovers: after failed calls, this counts as known 6 s later, before the grace
+     * begins.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 14, 100, 120})
-    void afterCallsThatFailedAllOfAFleetKnowSixSecondsAfterDiscoverysReturn(int fleet) throws Exception {
+    void fleetLearnsOfDrainWithinSixSecondsOfDiscoveryRecovery(int routerCount) throws Exception {
         Config config = Config.parse(Scenario.config(), Map.of());
-        for (String how : List.of("refuses", "queues", "resets", "says half")) {
+        for (String failure : List.of("refuses", "queues", "resets", "says half")) {
             for (int seconds : new int[] {1, 5, 30}) {
                 routers.clear();
                 queue.clear();
-                parked.clear();
+                heldCalls.clear();
                 version = 5;
-                meets = "answers";
-                for (int i = 0; i < fleet; i++) {
+                discoveryBehaviour = "answers";
+                for (int i = 0; i < routerCount; i++) {
                     routers.add(new Router(config, i));
                 }
-                pass(8_000);
-                calls.clear();
-                meets = how;
-                List.copyOf(parked).forEach(c -> c.router.broken()); // watches end when discovery goes down
-                parked.clear();
-                pass(seconds * 1_000L);
-                String away = calls(fleet, seconds);
-                calls.clear();
-                meets = "answers";
+                advance(8_000);
+                callTimes.clear();
+                discoveryBehaviour = failure;
+                List.copyOf(heldCalls).forEach(c -> c.router.breakConnection()); // watches end when discovery goes down
+                heldCalls.clear();
+                advance(seconds * 1_000L);
+                String outageFigures = callRates(routerCount, seconds);
+                callTimes.clear();
+                discoveryBehaviour = "answers";
                 version++;
-                long back = now;
+                long returnedAt = now;
                 routers.forEach(r -> r.knownAt = -1);
-                pass(10_000);
-                long last = routers.stream()
-                        .mapToLong(r -> r.knownAt < 0 ? Long.MAX_VALUE : r.knownAt - back)
+                advance(10_000);
+                long slowest = routers.stream()
+                        .mapToLong(r -> r.knownAt < 0 ? Long.MAX_VALUE : r.knownAt - returnedAt)
                         .max()
                         .orElseThrow();
-                String figures = how + ", " + seconds + " s: " + away + "; after its return " + mostInASecond()
-                        + " in a second at most, the last knows after " + last / MS + " ms";
+                String figures = failure + ", " + seconds + " s: " + outageFigures + "; after its recovery "
+                        + maxCallsInASecond() + " in a second at most, the last router knows after "
+                        + slowest / NANOS_PER_MILLI + " ms";
                 System.out.println(figures);
-                assertTrue(last <= 6_000 * MS, figures);
+                assertTrue(slowest <= 6_000 * NANOS_PER_MILLI, figures);
             }
         }
     }
 
-    /** Servers drain just before all of a fleet are sent SIGHUP, and again at 100 ms and 1 s after it. */
+    /** A server drains just before the whole fleet is sent SIGHUP, or 100 ms or 1 s after it. */
     @ParameterizedTest
     @ValueSource(ints = {1, 14, 100, 120})
-    void afterANewConfigurationAllOfAFleetKnowWithinFourSeconds(int fleet) throws Exception {
+    void fleetLearnsOfDrainWithinFourSecondsOfReload(int routerCount) throws Exception {
         Config config = Config.parse(Scenario.config(), Map.of());
         for (long drainsAfter : new long[] {0, 100, 1_000}) {
             routers.clear();
             queue.clear();
-            parked.clear();
+            heldCalls.clear();
             version = 5;
-            for (int i = 0; i < fleet; i++) {
+            for (int i = 0; i < routerCount; i++) {
                 routers.add(new Router(config, i));
             }
-            pass(8_000);
+            advance(8_000);
             routers.forEach(r -> r.knownAt = -1);
-            long moved = now;
+            long movedAt = now;
             version += drainsAfter == 0 ? 1 : 0;
-            parked.clear(); // the old address says nothing more
-            routers.forEach(Router::move);
+            heldCalls.clear(); // the old address sends nothing more
+            routers.forEach(Router::changeDiscoveryHost);
             if (drainsAfter > 0) {
-                pass(drainsAfter);
+                advance(drainsAfter);
                 version++;
             }
-            pass(10_000);
-            long last = routers.stream()
-                    .mapToLong(r -> r.knownAt < 0 ? Long.MAX_VALUE : r.knownAt - moved)
+            advance(10_000);
+            long slowest = routers.stream()
+                    .mapToLong(r -> r.knownAt < 0 ? Long.MAX_VALUE : r.knownAt - movedAt)
                     .max()
                     .orElseThrow();
             assertTrue(
-                    last <= MOVED_COUNTS + drainsAfter * MS,
-                    fleet + " routers, a drain " + drainsAfter + " ms after SIGHUP: the last knows after " + last / MS
-                            + " ms");
+                    slowest <= KNOWN_AFTER_MOVE_NANOS + drainsAfter * NANOS_PER_MILLI,
+                    routerCount + " routers, a drain " + drainsAfter + " ms after SIGHUP: the last router knows after "
+                            + slowest / NANOS_PER_MILLI + " ms");
         }
     }
 }
--- a/router/src/test/java/stoatrill/core/RestartsWithoutDiscoveryTest.java
+++ b/router/src/test/java/stoatrill/core/RestartsWithoutDiscoveryTest.java
@@ -21,34 +21,36 @@
 import stoatrill.scenario.Scenario;
 
 /**
- * A hundred routers restart on one clock before a discovery that is down: each serves by the list that it knew, and
- * their calls stay few while discovery is away and when it returns. Discovery takes calls in turn, would need 1.5 s
- * for one of each router, and fails those that wait over 2 s.
+ * Simulates a restart of a hundred routers on one clock while discovery is down. Each router must serve with the list
+ * that it had before, and must call discovery rarely during the outage and after the recovery. Discovery answers one
+ * call at a time, needs 1.5 s for one call of each router, and fails calls that wait for over 2 s.
  */
 class RestartsWithoutDiscoveryTest {
-    private static final int FLEET = 100;
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
-    private static final long START = 1_700_000_000_000L * MS;
-    private static final long CALL_TAKES = 1_500 * MS / FLEET;
-    private static final long LONGEST_QUEUE = 2 * SECOND;
-    /** The version of the list that the routers knew, and of that which discovery has when it returns. */
-    private static final long KNOWN = 5, NEWER = 6;
+    private static final int ROUTER_COUNT = 100;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
+    private static final long START_NANOS = 1_700_000_000_000L * NANOS_PER_MILLI;
+    private static final long CALL_SERVICE_NANOS = 1_500 * NANOS_PER_MILLI / ROUTER_COUNT;
+    private static final long MAX_QUEUE_NANOS = 2 * NANOS_PER_SECOND;
+    /** The version of the list that the routers had before the restart. */
+    private static final long KNOWN_VERSION = 5;
+    /** The version that discovery has when it recovers. */
+    private static final long NEWER_VERSION = 6;
 
-    private static final int SECONDS_AWAY = 60;
-    /** Calls a second that a router makes at most while discovery is away, over the whole time. */
-    private static final double MOST_CALLS = 0.75;
+    private static final int OUTAGE_SECONDS = 60;
+    /** The most calls per second and router, averaged over the whole outage. */
+    private static final double MAX_CALLS_PER_SECOND = 0.75;
 
     private final List<Router> routers = new ArrayList<>();
     private final ArrayDeque<Call> queue = new ArrayDeque<>();
-    private final List<Long> calls = new ArrayList<>();
+    private final List<Long> callTimes = new ArrayList<>();
     private Outage outage;
-    private boolean away = true;
-    private long now = START;
+    private boolean isDiscoveryDown = true;
+    private long now = START_NANOS;
     private long freeAt;
-    private int failedInQueue;
+    private int timedOutInQueue;
 
-    /** How a discovery that is away meets a call. */
+    /** How discovery treats a call while it is down. */
     enum Outage {
         REFUSES,
         RESETS,
@@ -56,12 +58,13 @@
         IS_SILENT
     }
 
-    private record Call(Router router, int connection, boolean waits, long at) {}
+    /** A call in discovery's queue; {@code isHeld} if discovery has nothing newer to answer it with. */
+    private record Call(Router router, int connection, boolean isHeld, long arrivedAt) {}
 
     /** A router's discovery client, reducer and module, with servers that answer each query at once. */
     private final class Router extends QuietEffects implements DiscoveryClient.Peer {
         private final Deadlines deadlines = new Deadlines();
-        private final List<Runnable> later = new ArrayList<>();
+        private final List<Runnable> deferred = new ArrayList<>();
         private final Reducer reducer;
         private final DiscoveryClient client;
         private int connection;
@@ -84,71 +87,74 @@
                             40,
                             seed));
             client = new DiscoveryClient(
-                    this, deadlines, "h", KNOWN, DiscoveryClient.Timing.of(config.settings(), seed));
+                    this, deadlines, "h", KNOWN_VERSION, DiscoveryClient.Timing.of(config.settings(), seed));
             reducer.members(
                     now, ListKind.CACHED, ServerList.parse(config.known()).entries());
         }
 
-        void step() {
-            List<Runnable> due = List.copyOf(later);
-            later.clear();
+        void runTurn() {
+            List<Runnable> due = List.copyOf(deferred);
+            deferred.clear();
             due.forEach(Runnable::run);
             reducer.tick(now);
         }
 
-        void ask(long slot, String kind, boolean writes) {
+        void sendRequest(long slot, String requestClass, boolean isWrite) {
             reducer.request(
-                    now, 1, slot, new ClientRequest("q" + slot, kind, "k", 0, 500, 0, false, writes, w -> new byte[1]));
+                    now,
+                    1,
+                    slot,
+                    new ClientRequest("q" + slot, requestClass, "k", 0, 500, 0, false, isWrite, w -> new byte[1]));
         }
 
-        // ---- Servers ----
-
         @Override
-        public void open(long id, InetSocketAddress endpoint) {
-            later.add(() -> reducer.connected(now, id));
+        public void open(long connectionId, InetSocketAddress endpoint) {
+            deferred.add(() -> reducer.connected(now, connectionId));
         }
 
         @Override
-        public void query(long id, Statement statement, long waitMillis) {
-            later.add(() -> {
-                reducer.written(id);
-                reducer.answered(now, id, new ServerAnswer(Result.OK, Role.UNKNOWN, now / MS, null, new byte[1]), true);
+        public void query(long connectionId, Statement statement, long waitMillis) {
+            deferred.add(() -> {
+                reducer.written(connectionId);
+                reducer.answered(
+                        now,
+                        connectionId,
+                        new ServerAnswer(Result.OK, Role.UNKNOWN, now / NANOS_PER_MILLI, null, new byte[1]),
+                        true);
             });
         }
 
         @Override
-        public void answer(long to, long slot, Answer answer) {
+        public void answer(long clientId, long slot, Answer answer) {
             answered++;
             served += answer instanceof Answer.Served ? 1 : 0;
         }
 
-        // ---- Discovery ----
-
         @Override
-        public void watch(boolean on) {
-            later.add(() -> client.follow(now, on));
+        public void watch(boolean enabled) {
+            deferred.add(() -> client.follow(now, enabled));
         }
 
         @Override
         public void fetch() {
-            later.add(() -> client.fetch(now));
+            deferred.add(() -> client.fetch(now));
         }
 
         @Override
         public void open() {
-            int mine = ++connection;
-            if (away && outage == Outage.IS_SILENT) {
-                calls.add(now);
-                return; // the connection never comes up
+            int openedConnection = ++connection;
+            if (isDiscoveryDown && outage == Outage.IS_SILENT) {
+                callTimes.add(now);
+                return; // the connection is never established
             }
-            boolean refused = away && outage == Outage.REFUSES;
+            boolean refused = isDiscoveryDown && outage == Outage.REFUSES;
             if (refused) {
-                calls.add(now);
+                callTimes.add(now);
             }
-            later.add(() -> {
-                if (mine == connection && refused) {
-                    broken();
-                } else if (mine == connection) {
+            deferred.add(() -> {
+                if (openedConnection == connection && refused) {
+                    breakConnection();
+                } else if (openedConnection == connection) {
                     client.connected(now);
                 }
             });
@@ -156,10 +162,10 @@
 
         @Override
         public void send(byte[] request) {
-            calls.add(now);
+            callTimes.add(now);
             String line = new String(request, StandardCharsets.US_ASCII);
-            boolean waits = line.contains("from=" + NEWER);
-            queue.add(new Call(this, connection, waits, now));
+            boolean isHeld = line.contains("from=" + NEWER_VERSION);
+            queue.add(new Call(this, connection, isHeld, now));
         }
 
         @Override
@@ -168,75 +174,75 @@
         }
 
         @Override
-        public void members(long at, ListKind kind, List<ServerEntry> entries) {
+        public void members(long receivedAt, ListKind kind, List<ServerEntry> entries) {
             boolean listed = kind == ListKind.FULL || kind == ListKind.DELTA;
-            listedAt = listed && listedAt < 0 ? at : listedAt;
-            reducer.members(at, kind, entries);
+            listedAt = listed && listedAt < 0 ? receivedAt : listedAt;
+            reducer.members(receivedAt, kind, entries);
         }
 
-        void broken() {
+        void breakConnection() {
             connection++;
             client.broken(now);
         }
 
-        void receive(String status, String body) {
+        void respond(String status, String body) {
             String head = "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n";
             client.received(now, ByteBuffer.wrap((head + body).getBytes(StandardCharsets.US_ASCII)));
         }
     }
 
-    private void pass(long millis) {
-        for (long end = now + millis * MS; now < end; ) {
-            now += MS;
-            while (!queue.isEmpty() && serve()) {
+    private void advance(long millis) {
+        for (long end = now + millis * NANOS_PER_MILLI; now < end; ) {
+            now += NANOS_PER_MILLI;
+            while (!queue.isEmpty() && serveNext()) {
                 queue.poll();
             }
-            routers.forEach(Router::step);
+            routers.forEach(Router::runTurn);
         }
     }
 
-    /** Deals with the first call of the queue; false if it has to wait on. */
-    private boolean serve() {
+    /** Serves the first call of the queue; returns false if it must wait. */
+    private boolean serveNext() {
         Call call = queue.peek();
         if (call.connection != call.router.connection) {
-            return true; // given up meanwhile
+            return true; // abandoned by the router meanwhile
         }
-        if (away) {
+        if (isDiscoveryDown) {
             if (outage == Outage.RESETS) {
-                call.router.broken();
+                call.router.breakConnection();
             } else {
-                call.router.receive("503 Down", "");
+                call.router.respond("503 Down", "");
             }
             return true;
         }
-        if (now - call.at > LONGEST_QUEUE) {
-            failedInQueue++;
-            call.router.receive("503 Busy", "");
+        if (now - call.arrivedAt > MAX_QUEUE_NANOS) {
+            timedOutInQueue++;
+            call.router.respond("503 Busy", "");
             return true;
         }
         if (freeAt > now) {
             return false;
         }
-        freeAt = now + CALL_TAKES;
-        if (!call.waits) {
-            call.router.receive("200 OK", "{\"rev\":" + NEWER + ",\"all\":false,\"targets\":[]}");
+        freeAt = now + CALL_SERVICE_NANOS;
+        if (!call.isHeld) {
+            call.router.respond("200 OK", "{\"rev\":" + NEWER_VERSION + ",\"all\":false,\"targets\":[]}");
         }
         return true;
     }
 
-    private int mostInASecond() {
-        int most = 0;
+    private int maxCallsInASecond() {
+        int max = 0;
         int first = 0;
-        for (int last = 0; last < calls.size(); last++) {
-            while (calls.get(last) - calls.get(first) > SECOND) {
+        for (int last = 0; last < callTimes.size(); last++) {
+            while (callTimes.get(last) - callTimes.get(first) > NANOS_PER_SECOND) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
-    /** All restart together, or one after another over 30 s, as at a planned restart of a fleet. */
+    /** The routers restart together, or one after another over 30 s as in a rolling restart. */
     @ParameterizedTest
     @CsvSource({
         "REFUSES, 0",
@@ -248,43 +254,44 @@
         "IS_SILENT, 0",
         "IS_SILENT, 300"
     })
-    void aHundredRestartsServeAndLeaveDiscoveryRoom(Outage how, long millisBetween) throws Exception {
+    void hundredRestartedRoutersServeWithoutOverloadingDiscovery(Outage outageKind, long millisBetween)
+            throws Exception {
         Config config = Config.parse(Scenario.config(), Map.of());
-        outage = how;
+        outage = outageKind;
         long slot = 0;
-        for (int i = 0; i < FLEET; i++) {
+        for (int i = 0; i < ROUTER_COUNT; i++) {
             Router router = new Router(config, i);
             routers.add(router);
-            router.ask(slot++, "archive", false);
-            router.ask(slot++, "upload", true);
-            pass(millisBetween);
+            router.sendRequest(slot++, "archive", false);
+            router.sendRequest(slot++, "upload", true);
+            advance(millisBetween);
         }
-        pass(100);
+        advance(100);
         for (Router router : routers) {
             assertEquals(2, router.answered, "answers to a read and a write right after the start");
-            assertEquals(2, router.served, "served of them");
+            assertEquals(2, router.served, "of which were served");
         }
-        pass(SECONDS_AWAY * 1_000L - millisBetween * FLEET);
-        double each = calls.size() / (double) SECONDS_AWAY / FLEET;
+        advance(OUTAGE_SECONDS * 1_000L - millisBetween * ROUTER_COUNT);
+        double callsPerRouter = callTimes.size() / (double) OUTAGE_SECONDS / ROUTER_COUNT;
         String figures = String.format(
-                "%s, %d ms apart: away %.3f calls a second of each, most in a second %d; ",
-                how, millisBetween, each, mostInASecond());
+                "%s, %d ms apart: during the outage %.3f calls per second of each, at most %d in a second; ",
+                outageKind, millisBetween, callsPerRouter, maxCallsInASecond());
 
-        calls.clear();
-        away = false;
-        long back = now;
-        pass(10_000);
-        long last = routers.stream()
-                .mapToLong(r -> r.listedAt < 0 ? Long.MAX_VALUE : r.listedAt - back)
+        callTimes.clear();
+        isDiscoveryDown = false;
+        long returnedAt = now;
+        advance(10_000);
+        long slowest = routers.stream()
+                .mapToLong(r -> r.listedAt < 0 ? Long.MAX_VALUE : r.listedAt - returnedAt)
                 .max()
                 .orElseThrow();
         figures += String.format(
-                "back: most in a second %d, %d failed for their wait, the last listed after %d ms",
-                mostInASecond(), failedInQueue, last / MS);
+                "after it: at most %d in a second, %d failed in the queue, the last router has a list after %d ms",
+                maxCallsInASecond(), timedOutInQueue, slowest / NANOS_PER_MILLI);
         System.out.println(figures);
-        assertTrue(each <= MOST_CALLS, figures);
-        assertTrue(mostInASecond() <= 2 * SECOND / CALL_TAKES, figures);
-        assertEquals(0, failedInQueue, figures);
-        assertTrue(last <= 6 * SECOND, figures);
+        assertTrue(callsPerRouter <= MAX_CALLS_PER_SECOND, figures);
+        assertTrue(maxCallsInASecond() <= 2 * NANOS_PER_SECOND / CALL_SERVICE_NANOS, figures);
+        assertEquals(0, timedOutInQueue, figures);
+        assertTrue(slowest <= 6 * NANOS_PER_SECOND, figures);
     }
 }
--- a/router/src/test/java/stoatrill/discovery/DiscoveryScenarioTest.java
+++ b/router/src/test/java/stoatrill/discovery/DiscoveryScenarioTest.java
@@ -15,12 +15,14 @@
 import stoatrill.discovery.DiscoveryClient.Timing;
 import stoatrill.scenario.Scenario;
 
-/** Discovery's client with fake time: {@code module} follows, {@code list} is the service at the other end. */
+/**
+ * Tests the discovery client with a fake clock; {@code module} starts watching, {@code list} is the discovery service.
+ */
 class DiscoveryScenarioTest implements Scenario.Stage, DiscoveryClient.Peer {
-    private static final long MS = 1_000_000L;
-    private static final String FOLLOWED = "module send follow\nlist expect open\nlist send up\n";
-    private static final String WATCHING = FOLLOWED + "list expect GET /v1/servers?from=4&hold_ms=WAIT\n";
-    private static final String CHECKING = FOLLOWED + "list expect GET /v1/servers?from=4&hold_ms=0\n";
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final String CONNECTED = "module send follow\nlist expect open\nlist send up\n";
+    private static final String WATCHING = CONNECTED + "list expect GET /v1/servers?from=4&hold_ms=WAIT\n";
+    private static final String CHECKING = CONNECTED + "list expect GET /v1/servers?from=4&hold_ms=0\n";
     private static final String FAILED = "list expect close\nlist expect FAILED 0\n";
     private static final String SILENT = """
       list expect close
@@ -34,14 +36,17 @@
       list expect GET /v1/servers?from=5&hold_ms=WAIT
       list expect DELTA 0
       """;
-    private final ArrayDeque<String> seen = new ArrayDeque<>();
+    private final ArrayDeque<String> events = new ArrayDeque<>();
     private final Deadlines deadlines = new Deadlines();
     private DiscoveryClient client;
-    private long now = 1_000 * MS;
-    private long wait;
+    private long now = 1_000 * NANOS_PER_MILLI;
+    private long holdMillis;
 
     private void play(long version, String steps) throws Exception {
-        play(version, new Timing(false, 20_000 * MS, 500 * MS, 2_500 * MS, 1), steps);
+        play(
+                version,
+                new Timing(false, 20_000 * NANOS_PER_MILLI, 500 * NANOS_PER_MILLI, 2_500 * NANOS_PER_MILLI, 1),
+                steps);
     }
 
     private void play(long version, Timing timing, String steps) throws Exception {
@@ -50,7 +55,7 @@
     }
 
     @Test
-    void aWatchIsRenewedBeforeItsNewsIsPassedOn() throws Exception {
+    void renewsWatchBeforePassingOnItsList() throws Exception {
         play(4, WATCHING + """
         list send 200 {"rev":5,"all":false,"targets":[]}
         list expect GET /v1/servers?from=5&hold_ms=WAIT
@@ -62,7 +67,7 @@
     }
 
     @Test
-    void withoutAListTheWholeIsAskedForFirst() throws Exception {
+    void fetchesFullListWhenNoneIsHeld() throws Exception {
         play(-1, """
         module send follow
         list expect open
@@ -72,7 +77,7 @@
     }
 
     @Test
-    void aFailedCallIsToldOnceAndNotRepeatedUnasked() throws Exception {
+    void reportsFailedCallOnceAndDoesNotRetryByItself() throws Exception {
         play(4, WATCHING + """
         list send 503 busy
         list expect close
@@ -87,7 +92,7 @@
     }
 
     @Test
-    void aListThatCantBeReadIsAFailedCall() throws Exception {
+    void unreadableListIsAFailedCall() throws Exception {
         play(4, WATCHING + """
         list send 200 {"rev":5,"targets":[{"uid":"s","endpoint":"a.name:1","state":"Ready"}]}
         list expect said not a list of servers: not a numeric address and port: a.name:1
@@ -97,18 +102,18 @@
     }
 
     @Test
-    void aSilentWatchIsOpenedAnewHalfASecondAfterItsWaitByACallThatIsAnsweredAtOnce() throws Exception {
+    void replacesSilentWatchByCheckHalfASecondAfterItsHold() throws Exception {
         play(4, WATCHING + "clock send the wait and 499\nlist expect nothing\nwait 1\n" + SILENT + CHECKED);
     }
 
     @Test
-    void aCallThatIsLostIsMadeAgainAtOnceAndOnceMoreOnlyWhenAskedFor() throws Exception {
+    void retriesLostCallOnceAtOnce() throws Exception {
         String lostTwice = SILENT + "wait 2500\n" + SILENT + "wait 2500\n";
         play(4, WATCHING + "clock send the wait and 500\n" + lostTwice + FAILED + CHECKING);
     }
 
     @Test
-    void aConnectionThatDoesNotComeUpIsNoticedWithoutTheWait() throws Exception {
+    void connectTimeoutDoesNotIncludeTheHold() throws Exception {
         play(4, """
         module send follow
         list expect open
@@ -121,7 +126,7 @@
     }
 
     @Test
-    void anAnswerThatNeverEndsIsNoticedWithoutTheWait() throws Exception {
+    void responseTimeoutDoesNotIncludeTheHold() throws Exception {
         play(4, WATCHING + """
         wait 300
         list send half of 200 {"rev":5,"targets":[]}
@@ -134,49 +139,56 @@
     }
 
     @Test
-    void anAgentIsAskedWhatItHasFirstAndACallToItIsLostAfterHalfTheGrace() throws Exception {
-        Timing pushed = new Timing(true, 20_000 * MS, 250 * MS, 125 * MS, 1);
+    void checksAgentBeforeWatchingAndRetriesAfterHalfTheGrace() throws Exception {
+        Timing pushed = new Timing(true, 20_000 * NANOS_PER_MILLI, 250 * NANOS_PER_MILLI, 125 * NANOS_PER_MILLI, 1);
         play(4, pushed, CHECKING + "wait 125\n" + SILENT + "wait 125\n" + FAILED + CHECKING + CHECKED);
     }
 
     @Test
-    void waitsAreSpreadSoThatWatchesWhichBeganTogetherDoNotEndTogether() {
+    void spreadsHoldTimesOfWatchesThatBeganTogether() {
         long[] waits = new long[120];
         for (int i = 0; i < waits.length; i++) {
             client = new DiscoveryClient(
-                    this, new Deadlines(), "h", 4, new Timing(false, 20_000 * MS, 500 * MS, 2_500 * MS, i));
+                    this,
+                    new Deadlines(),
+                    "h",
+                    4,
+                    new Timing(false, 20_000 * NANOS_PER_MILLI, 500 * NANOS_PER_MILLI, 2_500 * NANOS_PER_MILLI, i));
             client.follow(now, true);
             client.connected(now);
-            waits[i] = wait;
+            waits[i] = holdMillis;
         }
         Arrays.sort(waits);
         assertTrue(waits[0] >= 10_000 && waits[119] < 20_000, waits[0] + " to " + waits[119]);
-        for (int i = 0; i + 30 < waits.length; i++) { // an even spread has 12 in a second
+        for (int i = 0; i + 30 < waits.length; i++) { // evenly spread over 10 s, 12 end within a second
             assertTrue(waits[i + 30] - waits[i] > 1_000, "more than 30 of 120 end within a second");
         }
     }
 
-    /** At the graces of the protocol's pages, at none, and at one of a minute. */
+    /** Checks the graces that the protocol documentation names, no grace, and a grace of a minute. */
     @Test
-    void waitsFitInTheGraceThatTheSettingsGiveAndNeverPassTwentySeconds() throws Exception {
+    void holdFitsConfiguredGraceAndNeverExceedsTwentySeconds() throws Exception {
         for (boolean pushed : new boolean[] {false, true}) {
             for (long[] row :
                     new long[][] {{0, 3_750, 5_750}, {250, 3_750, 5_500}, {2_000, 5_250, 5_250}, {60_000, 20_000, 5_250}
                     }) {
-                String text = Scenario.config().replace("\"drainGrace\": 2000000000", "\"drainGrace\": " + row[0] * MS);
+                String text = Scenario.config()
+                        .replace("\"drainGrace\": 2000000000", "\"drainGrace\": " + row[0] * NANOS_PER_MILLI);
                 Timing timing = Timing.of(
                         stoatrill.config.Config.parse(
                                         pushed ? text.replace("on_request", "pushed") : text, java.util.Map.of())
                                 .settings(),
                         1);
                 assertEquals(
-                        row[pushed ? 2 : 1] * MS, timing.hold(), "grace " + row[0] + (pushed ? " pushed" : " asked"));
+                        row[pushed ? 2 : 1] * NANOS_PER_MILLI,
+                        timing.maxHold(),
+                        "grace " + row[0] + (pushed ? " pushed" : " asked"));
             }
         }
     }
 
     @Test
-    void listsOfThousandsAreTakenWholeAndIndentedAndInPiecesAndOneTooLongLeavesWhatIsHeld() throws Exception {
+    void readsListsOfThousandsInPiecesAndRejectsOneThatIsTooLong() throws Exception {
         for (int servers : new int[] {1_024, 8_192}) {
             for (String space : new String[] {"", "\n        "}) {
                 play(4, WATCHING);
@@ -212,7 +224,7 @@
     }
 
     @Test
-    void whatIsWrongWithAnswersIsSaidOnceUntilOneCanBeUsed() throws Exception {
+    void logsUnusableResponseOnceUntilOneIsUsable() throws Exception {
         play(4, WATCHING + """
         list send 200 {"rev":5}
         list expect said not a list of servers: no field "targets"
@@ -240,7 +252,7 @@
     }
 
     @Test
-    void anAnswerWithoutLengthIsWholeWhenItsConnectionEnds() throws Exception {
+    void responseWithoutLengthCompletesWhenConnectionEnds() throws Exception {
         play(4, WATCHING + """
         list send without length {"rev":5,"all":true,"targets":[]}
         list expect nothing
@@ -250,9 +262,11 @@
         """);
     }
 
-    /** What came may be whole by its own brackets: a reset is no end, and the list held stays in use. */
+    /**
+     * The body received may be complete JSON, but a reset does not complete a response: the current list stays in use.
+     */
     @Test
-    void anAnswerWithoutLengthWhoseConnectionIsResetChangesNothing() throws Exception {
+    void responseWithoutLengthIsDiscardedOnReset() throws Exception {
         play(4, WATCHING + """
         list send without length {"rev":5,"all":true,"targets":[]}
         list send reset
@@ -265,7 +279,7 @@
     }
 
     @Test
-    void aConnectionClosedAtRestIsNoFailure() throws Exception {
+    void connectionClosedWhileIdleIsNotAFailure() throws Exception {
         play(4, WATCHING + """
         list send 200 {"rev":5,"all":false,"targets":[]}
         list expect GET /v1/servers?from=5&hold_ms=WAIT
@@ -280,7 +294,7 @@
     @Override
     public void send(String actor, String text) {
         if (actor.equals("clock")) {
-            pass(wait + Long.parseLong(text.substring(13)));
+            pass(holdMillis + Long.parseLong(text.substring(13)));
         } else if (actor.equals("module")) {
             client.follow(now, true);
         } else if (text.equals("up")) {
@@ -306,7 +320,7 @@
 
     @Override
     public void expect(String actor, String text) {
-        assertEquals(text, seen.isEmpty() ? "nothing" : seen.poll());
+        assertEquals(text, events.isEmpty() ? "nothing" : events.poll());
     }
 
     @Override
@@ -316,38 +330,38 @@
 
     @Override
     public void pass(long millis) {
-        now += millis * MS;
+        now += millis * NANOS_PER_MILLI;
         deadlines.sweep(now);
     }
 
     @Override
     public void open() {
-        seen.add("open");
+        events.add("open");
     }
 
     @Override
     public void send(byte[] request) {
         String line = new String(request, StandardCharsets.US_ASCII).split(" HTTP", 0)[0];
-        wait = Long.parseLong(line.replaceFirst(".*hold_ms=|.*", "0"));
-        seen.add(wait > 0 ? line.replace("=" + wait, "=WAIT") : line);
+        holdMillis = Long.parseLong(line.replaceFirst(".*hold_ms=|.*", "0"));
+        events.add(holdMillis > 0 ? line.replace("=" + holdMillis, "=WAIT") : line);
     }
 
     @Override
     public void close() {
-        seen.add("close");
+        events.add("close");
     }
 
     @Override
-    public void members(long at, ListKind kind, List<ServerEntry> entries) {
-        seen.add(kind + " " + entries.size());
+    public void members(long receivedAt, ListKind kind, List<ServerEntry> entries) {
+        events.add(kind + " " + entries.size());
     }
 
     @Override
     public void log(String line) {
-        seen.add("said "
+        events.add("said "
                 + line.replaceFirst(
-                        "discovery at h gave an answer that can't be used \\((.*)\\); the list held "
-                                + "before stays in use and is asked for again",
+                        "discovery at h sent an unusable response \\((.*)\\); the previous list "
+                                + "stays in use and is requested again",
                         "$1"));
     }
 }
