--- a/router/src/test/java/stoatrill/pg/PgClientPiecesTest.java
+++ b/router/src/test/java/stoatrill/pg/PgClientPiecesTest.java
@@ -13,29 +13,29 @@
 import stoatrill.core.ClientRequest;
 import stoatrill.net.ClientProtocol;
 
-/** The client's side of the codec before clients that write slowly: whatever the pieces, the requests are the same. */
+/** Checks that the client protocol reads the same requests however the client's bytes are split. */
 class PgClientPiecesTest {
     private static final String READ = "SELECT v FROM records WHERE k = 'a1' /* id=r%d,c=archive,d=480,cluster=2 */";
     private static final String WRITE =
             "INSERT INTO records (k, v) VALUES ('a1', '\\x01') RETURNING v /* id=w%d,c=order,d=480,cluster=2 */";
 
-    /** What a conversation has brought: the requests read, and what was written to the client. */
+    /** Records the requests that were read and the bytes that were written to the client. */
     private static final class Conversation implements ClientProtocol.Peer {
         private final List<String> requests = new ArrayList<>();
         private final StringBuilder written = new StringBuilder();
         private final PgClient client = new PgClient(this);
         private boolean closed;
-        private boolean again;
+        private boolean proceedRequested;
 
-        void receive(byte[] bytes, int from, int to) {
-            client.received(ByteBuffer.wrap(bytes, from, to - from));
+        void receive(byte[] bytes, int start, int end) {
+            client.received(ByteBuffer.wrap(bytes, start, end - start));
             do {
-                again = false;
+                proceedRequested = false;
                 client.proceed();
-            } while (again);
+            } while (proceedRequested);
         }
 
-        String all() {
+        String transcript() {
             return requests + " " + written + (closed ? " closed" : "");
         }
 
@@ -52,7 +52,7 @@
 
         @Override
         public void proceedLater() {
-            again = true;
+            proceedRequested = true;
         }
 
         @Override
@@ -91,46 +91,49 @@
         return message("Q", (text + "\0").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A conversation with every form of a client's messages: the encryption asked for, queries, none, and an end. */
-    private static byte[] conversation() {
-        ByteBuffer all = ByteBuffer.allocate(4096);
-        all.put(message("", ByteBuffer.allocate(4).putInt(80877103).array()));
+    /**
+     * Returns a client's messages of every form: a request for encryption, startup, queries, empty queries,
+     * termination.
+     */
+    private static byte[] clientMessages() {
+        ByteBuffer joined = ByteBuffer.allocate(4096);
+        joined.put(message("", ByteBuffer.allocate(4).putInt(80877103).array()));
         byte[] names = "user\0svc\0database\0main\0\0".getBytes(StandardCharsets.US_ASCII);
-        all.put(message(
+        joined.put(message(
                 "",
                 ByteBuffer.allocate(4 + names.length).putInt(196608).put(names).array()));
         for (int n = 0; n < 3; n++) {
-            all.put(query(READ.formatted(n)))
+            joined.put(query(READ.formatted(n)))
                     .put(query(";"))
                     .put(query(WRITE.formatted(n)))
                     .put(query("SELECT 1"));
         }
-        all.put(message("X", new byte[0]));
-        byte[] bytes = new byte[all.position()];
-        all.flip().get(bytes);
+        joined.put(message("X", new byte[0]));
+        byte[] bytes = new byte[joined.position()];
+        joined.flip().get(bytes);
         return bytes;
     }
 
     @Test
-    void requestsAreTheSameHoweverTheirBytesAreCut() {
-        byte[] bytes = conversation();
+    void readsTheSameRequestsHoweverTheBytesAreSplit() {
+        byte[] bytes = clientMessages();
         Conversation whole = new Conversation();
         whole.receive(bytes, 0, bytes.length);
-        assertEquals(6, whole.requests.size(), whole.all());
+        assertEquals(6, whole.requests.size(), whole.transcript());
         assertTrue(whole.closed);
         for (int cut = 1; cut < bytes.length; cut++) {
             Conversation inTwo = new Conversation();
             inTwo.receive(bytes, 0, cut);
-            assertFalse(inTwo.closed, "closed before its end, at " + cut);
+            assertFalse(inTwo.closed, "closed before all bytes were received, split at " + cut);
             inTwo.receive(bytes, cut, bytes.length);
-            assertEquals(whole.all(), inTwo.all(), "cut at " + cut);
+            assertEquals(whole.transcript(), inTwo.transcript(), "split at " + cut);
         }
         for (int size = 1; size < 100; size++) {
             Conversation inPieces = new Conversation();
             for (int at = 0; at < bytes.length; at += size) {
                 inPieces.receive(bytes, at, Math.min(bytes.length, at + size));
             }
-            assertEquals(whole.all(), inPieces.all(), "pieces of " + size);
+            assertEquals(whole.transcript(), inPieces.transcript(), "pieces of " + size);
         }
     }
 }
--- a/router/src/test/java/stoatrill/pg/PgServerScenarioTest.java
+++ b/router/src/test/java/stoatrill/pg/PgServerScenarioTest.java
@@ -14,19 +14,21 @@
 import stoatrill.net.ServerProtocol;
 import stoatrill.scenario.Scenario;
 
-/** The server side of the codec: {@code s} sends messages, a type and a body,
- * that arrive byte by byte, or raw bytes at once; {@code query} is what the router asks. */
+/**
+ * Tests the server protocol. {@code s send TYPE BODY} delivers a message byte by byte, {@code s send raw} delivers
+ * bytes at once, and {@code s send query} makes the router send a query.
+ */
 class PgServerScenarioTest implements Scenario.Stage, ServerProtocol.Peer {
     private static final String COLUMNS = "s send T ~^v~" + "~".repeat(18) + "\n";
-    private static final String ASK = "s send query\n";
-    private static final String UP = "s send R ~~~~\ns send Z I\ns expect up\n";
-    private final ArrayDeque<String> seen = new ArrayDeque<>();
+    private static final String QUERY = "s send query\n";
+    private static final String STARTUP = "s send R ~~~~\ns send Z I\ns expect up\n";
+    private final ArrayDeque<String> events = new ArrayDeque<>();
     private PgServer server = new PgServer(this);
     private byte[] value;
 
     @Test
-    void aServedAnswerCarriesItsNotesAndIsReadyWithTheConnection() throws Exception {
-        Scenario.play(this, UP + ASK + COLUMNS + """
+    void servedAnswerCarriesRolePositionAndReport() throws Exception {
+        Scenario.play(this, STARTUP + QUERY + COLUMNS + """
         s send D ~^~~~^x
         s send C SELECT 1~
         s send S server_role~reader~
@@ -42,8 +44,8 @@
     }
 
     @Test
-    void errorsAreToldApartByTheirState() throws Exception {
-        Scenario.play(this, UP + ASK + """
+    void classifiesErrorsBySqlState() throws Exception {
+        Scenario.play(this, STARTUP + QUERY + """
         s send E SERROR~C25006~~
         s send Z I
         s expect MISS UNKNOWN -1 null true
@@ -63,8 +65,8 @@
     }
 
     @Test
-    void anAnswerThatWasWholeCountsThoughTheConnectionEnds() throws Exception {
-        Scenario.play(this, UP + ASK + COLUMNS + """
+    void deliversCompleteAnswerWhenConnectionEnds() throws Exception {
+        Scenario.play(this, STARTUP + QUERY + COLUMNS + """
         s send D ~^~~~^x
         s send C SELECT 1~
         s close
@@ -73,8 +75,8 @@
     }
 
     @Test
-    void halfAnAnswerIsABreak() throws Exception {
-        Scenario.play(this, UP + ASK + COLUMNS + """
+    void reportsBrokenConnectionOnPartialAnswer() throws Exception {
+        Scenario.play(this, STARTUP + QUERY + COLUMNS + """
         s send D ~^~~~^x
         s close
         s expect broken ENDED
@@ -82,7 +84,7 @@
     }
 
     @Test
-    void aServerWithTooManyConnectionsSaysSo() throws Exception {
+    void reportsFullServerAtStartup() throws Exception {
         Scenario.play(this, """
         s send E SFATAL~C53300~~
         s close
@@ -91,12 +93,12 @@
     }
 
     @Test
-    void anAnswerThatBreaksTheGrammarIsSpoiltAtItsFirstBadByte() throws Exception {
+    void rejectsMalformedAnswerAtFirstInvalidByte() throws Exception {
         String row = COLUMNS + "s send D ~^~~~^x\n";
-        for (String spoilt : List.of(
-                "s send raw 21", // no such type, though nothing more ever comes
+        for (String malformed : List.of(
+                "s send raw 21", // unknown type, rejected without waiting for its length
                 "s send raw 44", // a row before its columns
-                "s send raw 54 7fffffff", // announced, not yet come
+                "s send raw 54 7fffffff", // excessive length, rejected before the body arrives
                 "s send raw 54 00000003",
                 "s send T ~^v~~~",
                 "s send E SERROR~C25006",
@@ -104,22 +106,22 @@
                 "s send S name without end",
                 "s send S a~b~c~",
                 COLUMNS + "s send raw 44 c0000000",
-                COLUMNS + "s send D ~^~~~^xx", // a second byte that its length does not tell of
+                COLUMNS + "s send D ~^~~~^xx", // one byte more than the value's length
                 COLUMNS + "s send D ~^~~~^",
                 COLUMNS + "s send D ~^\u00ff\u00ff\u00ff\u00ff",
-                COLUMNS + "s send raw 43", // complete without a row
+                COLUMNS + "s send raw 43", // command complete without a row
                 row + "s send raw 44",
                 row + "s send C no end",
                 row + "s send C SELECT 1~\ns send raw 45",
                 row + "s send C SELECT 1~\ns send Z ?")) {
             server = new PgServer(this);
-            Scenario.play(this, UP + ASK + spoilt + "\ns expect broken SPOILT\ns expect nothing\n");
+            Scenario.play(this, STARTUP + QUERY + malformed + "\ns expect broken SPOILT\ns expect nothing\n");
         }
     }
 
     @Test
-    void anErrorBehindABegunAnswerDoesNotProveThatNothingRan() throws Exception {
-        Scenario.play(this, UP + ASK + COLUMNS + """
+    void errorAfterAnswerBeganDoesNotProveThatNothingRan() throws Exception {
+        Scenario.play(this, STARTUP + QUERY + COLUMNS + """
         s send E SERROR~C53300~~
         s send Z I
         s expect ERROR UNKNOWN -1 null true
@@ -127,7 +129,7 @@
     }
 
     @Test
-    void aReportOrPositionThatCantBeReadIsLeftOutAndTheAnswerStands() throws Exception {
+    void ignoresUnreadableReportOrPositionAndKeepsAnswer() throws Exception {
         for (String notes : List.of(
                 "usage~x0=1,q=NaN",
                 "usage~q=1,,q=2",
@@ -139,19 +141,19 @@
             server = new PgServer(this);
             Scenario.play(
                     this,
-                    UP + ASK + COLUMNS + "s send D ~^~~~^x\ns send C SELECT 1~\ns send S " + notes
+                    STARTUP + QUERY + COLUMNS + "s send D ~^~~~^x\ns send C SELECT 1~\ns send S " + notes
                             + "~\ns send Z I\ns expect OK UNKNOWN -1 null true\n");
         }
     }
 
     @Test
-    void whatComesBehindAnAnswerOrUnaskedEndsTheConnectionAndTheAnswerStands() throws Exception {
-        Scenario.play(this, UP + ASK + """
+    void unexpectedBytesAfterAnswerEndTheConnectionAndKeepAnswer() throws Exception {
+        Scenario.play(this, STARTUP + QUERY + """
         s send raw 45 0000000c 433235303036 00 00 5a 00000005 49 54
         s expect MISS UNKNOWN -1 null false
         """);
         server = new PgServer(this);
-        Scenario.play(this, UP + ASK + """
+        Scenario.play(this, STARTUP + QUERY + """
         s send E C25006~~
         s send Z I
         s expect MISS UNKNOWN -1 null true
@@ -179,7 +181,7 @@
 
     @Override
     public void expect(String actor, String text) {
-        assertEquals(text, seen.isEmpty() ? "nothing" : seen.poll());
+        assertEquals(text, events.isEmpty() ? "nothing" : events.poll());
     }
 
     @Override
@@ -192,18 +194,18 @@
 
     @Override
     public void connectedToServer() {
-        seen.add("up");
+        events.add("up");
     }
 
     @Override
-    public void answered(ServerAnswer a, boolean reusable) {
-        value = a.value();
-        seen.add(a.result() + " " + a.role() + " " + a.positionMillis() + " "
-                + (a.report() == null ? null : a.report().get("q")) + " " + reusable);
+    public void answered(ServerAnswer answer, boolean reusable) {
+        value = answer.value();
+        events.add(answer.result() + " " + answer.role() + " " + answer.positionMillis() + " "
+                + (answer.report() == null ? null : answer.report().get("q")) + " " + reusable);
     }
 
     @Override
-    public void broken(Break how) {
-        seen.add("broken " + how);
+    public void broken(Break cause) {
+        events.add("broken " + cause);
     }
 }
--- a/router/src/test/java/stoatrill/wire/CodecTest.java
+++ b/router/src/test/java/stoatrill/wire/CodecTest.java
@@ -14,7 +14,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-/** The frames and records that the protocol page gives as examples, and what must be turned away. */
+/** Batches and records: the examples of the protocol documentation, and malformed input that must be rejected. */
 class CodecTest {
     private static final String SETTINGS = """
       allowed.cancel=true
@@ -68,7 +68,7 @@
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
 
-    /** A batch of these records at the clock of the examples. */
+    /** Returns a batch of these records at the clock time of the examples. */
     private static byte[] batch(byte[] records) {
         return ByteBuffer.allocate(12 + records.length)
                 .order(ByteOrder.LITTLE_ENDIAN)
@@ -78,7 +78,7 @@
                 .array();
     }
 
-    private static byte[] create(String settings) {
+    private static byte[] createInstance(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         byte[] list = hex(LIST);
         return ByteBuffer.allocate(18 + text.length + list.length)
@@ -103,25 +103,25 @@
         return out.toByteArray();
     }
 
-    private static String refused(byte[]... batches) {
+    private static String rejectionMessage(byte[]... batches) {
         return assertThrows(MalformedInputException.class, () -> run(batches)).getMessage();
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void answersEmptyBatchWithEmptyReply() throws IOException {
         assertEquals("0000000000000000", HexFormat.of().formatHex(run(hex("08000000 90bf68f501000000"))));
     }
 
     @Test
-    void theExampleBatchIsReadFieldByField() throws IOException {
-        FrameReader in = new FrameReader(new ByteArrayInputStream(hex("54000000 90bf68f501000000 78 03000000"
+    void readsExampleBatchFieldByField() throws IOException {
+        BatchReader in = new BatchReader(new ByteArrayInputStream(hex("54000000 90bf68f501000000 78 03000000"
                 + REQUEST
                 + "46 4d00000000000000 78 05000000 3c 192b6f0eae4b0800")));
-        assertTrue(in.next());
+        assertTrue(in.readBatch());
         assertEquals(0x1f568bf90L, in.u64());
-        assertEquals(120, in.code());
+        assertEquals(120, in.readCode());
         assertEquals(3, in.u32());
-        assertEquals(30, in.code());
+        assertEquals(30, in.readCode());
         assertEquals(0x000a42ee5d3a91c4L, in.u64());
         assertEquals(0x91f03b7c55d20a64L, in.u64());
         assertEquals(11f, in.f32());
@@ -131,18 +131,18 @@
         assertEquals(1, in.u8());
         assertEquals(0, in.u32());
         assertEquals(0, in.u16());
-        assertEquals(70, in.code());
+        assertEquals(70, in.readCode());
         assertEquals(77, in.u64());
-        assertEquals(120, in.code());
+        assertEquals(120, in.readCode());
         assertEquals(5, in.u32());
-        assertEquals(60, in.code());
+        assertEquals(60, in.readCode());
         assertEquals(0x084bae0e6f2b19L, in.u64());
         assertFalse(in.hasMore());
-        assertFalse(in.next());
+        assertFalse(in.readBatch());
     }
 
     @Test
-    void theExampleReplyIsWrittenByteForByte() throws IOException {
+    void writesExampleReplyByteForByte() throws IOException {
         ReplyWriter reply = new ReplyWriter();
         reply.send(3, 0x000a42ee5d3a91c4L, 0x0a124a072bc3L, 80_000_000);
         reply.timer(3, 500_000_000, 77);
@@ -158,55 +158,56 @@
     }
 
     @Test
-    void everyEventOfAnInstanceIsTakenInOneBatch() throws IOException {
+    void acceptsEveryEventOfAnInstanceInOneBatch() throws IOException {
         byte[] events = hex("78 03000000"
                 + REQUEST
                 + "28 c4913a5dee420a00 d0248d0000000000 00 0a124a07 c32b"
                 + "32 c4913a5dee420a00 00 0a124a07 c32b 0a00 a0491a0100000000 01 8e630000 02 2b87c642 00000000"
                 + "50 0a9011f2 ec2b c05c150000000000 0a00 02 2b87c642 00000000"
                 + "5a 02000000 0400 68692037 3c c4913a5dee420a00 46 4d00000000000000 64");
-        byte[] again = new byte[events.length + create(SETTINGS).length];
-        System.arraycopy(events, 0, again, 0, events.length);
-        System.arraycopy(create(SETTINGS), 0, again, events.length, create(SETTINGS).length);
-        String reply = HexFormat.of().formatHex(run(batch(create(SETTINGS)), batch(again)));
-        assertTrue(reply.contains("0ac4913a5dee420a00"), "the request is sent on");
+        byte[] eventsThenCreate = new byte[events.length + createInstance(SETTINGS).length];
+        System.arraycopy(events, 0, eventsThenCreate, 0, events.length);
+        System.arraycopy(createInstance(SETTINGS), 0, eventsThenCreate, events.length, createInstance(SETTINGS).length);
+        String reply = HexFormat.of().formatHex(run(batch(createInstance(SETTINGS)), batch(eventsThenCreate)));
+        assertTrue(reply.contains("0ac4913a5dee420a00"), "the request is forwarded to a server");
     }
 
     @Test
-    void aTruncatedFrameIsNamed() {
-        assertEquals("batch 1: input ends inside the length field", refused(hex("0800")));
-        assertEquals("batch 1: input ends after 2 of 8 bytes", refused(hex("08000000 90bf")));
-        assertEquals("batch 1: impossible length 7", refused(hex("07000000 90bf68f5010000")));
-        assertEquals("batch 1, byte 12: the record runs past the end of the batch", refused(batch(hex("78 0300"))));
+    void reportsTruncatedBatch() {
+        assertEquals("batch 1: input ends inside the length field", rejectionMessage(hex("0800")));
+        assertEquals("batch 1: input ends after 2 of 8 bytes", rejectionMessage(hex("08000000 90bf")));
+        assertEquals("batch 1: invalid length 7", rejectionMessage(hex("07000000 90bf68f5010000")));
+        assertEquals(
+                "batch 1, byte 12: the record runs past the end of the batch", rejectionMessage(batch(hex("78 0300"))));
     }
 
     @Test
-    void whatNoBatchMayHoldIsNamed() {
+    void reportsInvalidRecord() {
         assertEquals(
                 "batch 2, byte 17: unknown event code 99",
-                refused(batch(create(SETTINGS)), batch(hex("78 03000000 63"))));
+                rejectionMessage(batch(createInstance(SETTINGS)), batch(hex("78 03000000 63"))));
         assertEquals(
-                "batch 1, byte 17: event 60 for instance 3, which is not up",
-                refused(batch(hex("78 03000000 3c 192b6f0eae4b0800"))));
+                "batch 1, byte 17: event 60 for instance 3, which does not exist",
+                rejectionMessage(batch(hex("78 03000000 3c 192b6f0eae4b0800"))));
         assertEquals(
                 "batch 1, byte 12: a count of 9000 does not fit the batch",
-                refused(batch(hex("6e 00000000 28230000"))));
+                rejectionMessage(batch(hex("6e 00000000 28230000"))));
         assertEquals(
                 "batch 2, byte 17: no list with number 5",
-                refused(batch(create(SETTINGS)), batch(hex("78 03000000 14 02 29000000 05000000"))));
+                rejectionMessage(batch(createInstance(SETTINGS)), batch(hex("78 03000000 14 02 29000000 05000000"))));
     }
 
     @Test
-    void aMissingOrMalformedSettingIsNamedAndAnUnknownOneSkipped() throws IOException {
-        assertTrue(run(batch(create(SETTINGS))).length > 8);
+    void reportsInvalidSettingAndSkipsUnknownOne() throws IOException {
+        assertTrue(run(batch(createInstance(SETTINGS))).length > 8);
         assertEquals(
                 "settings: step is missing; a value is expected",
-                refused(batch(create(SETTINGS.replace("step=5000000\n", "")))));
+                rejectionMessage(batch(createInstance(SETTINGS.replace("step=5000000\n", "")))));
         assertEquals(
                 "settings: step is soon; a whole number from 1 on is expected",
-                refused(batch(create(SETTINGS.replace("step=5000000", "step=soon")))));
+                rejectionMessage(batch(createInstance(SETTINGS.replace("step=5000000", "step=soon")))));
         assertEquals(
                 "settings: discovery is guessed; one of [on_request, pushed] is expected",
-                refused(batch(create(SETTINGS.replace("=on_request", "=guessed")))));
+                rejectionMessage(batch(createInstance(SETTINGS.replace("=on_request", "=guessed")))));
     }
 }
