--- a/router/src/main/java/stoatrill/Main.java
+++ b/router/src/main/java/stoatrill/Main.java
@@ -23,29 +23,34 @@
 import stoatrill.wire.MalformedInputException;
 
 /**
- * Starts the program: {@code serve} runs one router on sockets, {@code simhost} runs the same decisions on the
- * simulator's wire, on standard input and output. These two words alone go the short way, which loads neither
- * the command line's library nor a second log library; all else is read by {@link Commands}.
+ * Entry point. {@code serve} runs one router on sockets. {@code simhost} runs the same decisions on the simulator's
+ * wire protocol, over standard input and output. When one of these two words is the only argument, the program starts
+ * without loading the command line library or a second logging library. {@link Commands} parses all other arguments.
  */
 public final class Main {
-    /** How long a start goes on trying what fails for a moment, in nanoseconds. */
-    private static final long START_PATIENCE = 2_000_000_000L;
-    /** How long a configuration that can't be read after SIGHUP is tried again, in nanoseconds. */
-    private static final long RELOAD_PATIENCE = 600_000_000_000L;
+    /** How long startup retries steps that fail with a transient error. */
+    private static final long START_RETRY_LIMIT_NANOS = 2_000_000_000L;
+    /** How long a reload after SIGHUP retries a configuration that can't be read. */
+    private static final long RELOAD_RETRY_LIMIT_NANOS = 600_000_000_000L;
 
-    private static final AtomicInteger RELOADS = new AtomicInteger();
-    /** The last reload of which it was said that the configuration can't be read. */
-    private static final AtomicInteger SAID = new AtomicInteger();
+    /** The number of reloads requested so far, which is also the number of the newest reload. */
+    private static final AtomicInteger RELOAD_COUNT = new AtomicInteger();
+    /** The last reload for which a warning about an unreadable configuration was logged. */
+    private static final AtomicInteger LAST_LOGGED_RELOAD = new AtomicInteger();
 
-    /** The loop that signals go to, and those that came before there was one; guarded by this class. */
-    private static EventLoop serving;
+    /** The event loop that handles signals; null until it is up. Guarded by this class. */
+    private static EventLoop servingLoop;
 
-    private static boolean reloadAsked;
-    private static boolean stopAsked;
+    /** Whether a reload was requested before the event loop was up. Guarded by this class. */
+    private static boolean reloadPending;
+    /** Whether a stop was requested before the event loop was up. Guarded by this class. */
+    private static boolean stopPending;
 
     private Main() {}
 
-    /** Exits with 0 at an orderly end, 1 on bad input or a failure, 2 on wrong usage or configuration. */
+    /**
+     * Exits with 0 after an orderly shutdown, 1 on malformed input or a failure, 2 on a usage or configuration error.
+     */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
@@ -58,20 +63,24 @@
         }
     }
 
-    /** Runs one router until SIGTERM; {@link Logs#choose} comes first. */
+    /** Runs one router until SIGTERM or SIGINT. Call {@link Logs#choose} first. */
     public static void serve() {
         Signals.handle("HUP", Main::reload);
-        // Before the listener is up: what comes in from then on counts as taken, also if SIGTERM is here already.
+        // Installed before the listener is up: from then on every incoming connection counts as accepted, even if
+        // SIGTERM has already arrived.
         Signals.handle("TERM", Main::stop);
         Signals.handle("INT", Main::stop);
         try {
-            Config config = Retry.within(START_PATIENCE, Main::passes, () -> Config.read(System.getenv()));
+            Config config =
+                    Retry.within(START_RETRY_LIMIT_NANOS, Main::isTransient, () -> Config.read(System.getenv()));
             Logs.name(config.name());
-            int classes = Retry.within(START_PATIENCE, Main::passes, ClassPreloader::load);
-            log().debug("{} classes loaded before the first client", classes);
+            int classCount = Retry.within(START_RETRY_LIMIT_NANOS, Main::isTransient, ClassPreloader::load);
+            log().debug("preloaded {} classes before accepting the first client", classCount);
             EventLoop loop = Retry.within(
-                    START_PATIENCE, Main::passes, () -> new EventLoop(config, PgClient::new, PgServer::new));
-            serves(loop);
+                    START_RETRY_LIMIT_NANOS,
+                    Main::isTransient,
+                    () -> new EventLoop(config, PgClient::new, PgServer::new));
+            attach(loop);
             loop.run();
         } catch (ConfigException e) {
             exit(2, e.getMessage());
@@ -80,66 +89,73 @@
         }
     }
 
-    /** Whether what failed may succeed if it is tried again. */
-    private static boolean passes(Exception e) {
-        return e instanceof ConfigException config ? config.passes() : !(e instanceof BindException);
+    /** Returns whether a failed step may succeed if it is retried. */
+    private static boolean isTransient(Exception e) {
+        return e instanceof ConfigException config ? config.isTransient() : !(e instanceof BindException);
     }
 
-    /** SIGTERM: the loop ends in order, and the program with it. */
+    /** Handles SIGTERM and SIGINT: shuts the event loop down in order, after which the program ends. */
     private static void stop() {
-        asked(EventLoop::stop, () -> stopAsked = true);
+        runOrDefer(EventLoop::stop, () -> stopPending = true);
     }
 
     /**
-     * SIGHUP: reads the configuration anew, on the signal's own thread. A file that can't be read is tried again, and
-     * said once; a newer signal takes over.
+     * Handles SIGHUP: reads the configuration again, on the signal's own thread. Retries a file that can't be read,
+     * logs that once, and gives up when a newer signal starts its own reload.
      */
     private static void reload() {
-        int mine = RELOADS.incrementAndGet();
+        int reload = RELOAD_COUNT.incrementAndGet();
         try {
-            Config anew = Retry.within(RELOAD_PATIENCE, e -> RELOADS.get() == mine && passes(e), () -> readOrSay(mine));
-            asked(loop -> loop.reload(anew), () -> reloadAsked = true);
+            Config newConfig = Retry.within(
+                    RELOAD_RETRY_LIMIT_NANOS,
+                    e -> RELOAD_COUNT.get() == reload && isTransient(e),
+                    () -> readOrWarn(reload));
+            runOrDefer(loop -> loop.reload(newConfig), () -> reloadPending = true);
         } catch (ConfigException e) {
             log().warn("the configuration is kept as it was: {}", e.getMessage());
         }
     }
 
-    private static Config readOrSay(int reload) throws ConfigException {
+    /** Reads the configuration; on a transient failure, logs a warning unless this reload has logged one already. */
+    private static Config readOrWarn(int reload) throws ConfigException {
         try {
             return Config.read(System.getenv());
         } catch (ConfigException e) {
-            if (e.passes() && SAID.getAndSet(reload) != reload) {
+            if (e.isTransient() && LAST_LOGGED_RELOAD.getAndSet(reload) != reload) {
                 log().warn("the configuration is read again until it can be: {}", e.getMessage());
             }
             throw e;
         }
     }
 
-    /** Does what a signal asks for, or keeps it in mind until there is a loop that can do it. */
-    private static synchronized void asked(Consumer<EventLoop> now, Runnable orElse) {
-        if (serving != null) {
-            now.accept(serving);
+    /** Runs a signal's action on the event loop, or records that it is pending while there is no loop yet. */
+    private static synchronized void runOrDefer(Consumer<EventLoop> action, Runnable defer) {
+        if (servingLoop != null) {
+            action.accept(servingLoop);
         } else {
-            orElse.run();
+            defer.run();
         }
     }
 
-    /** From now on signals go to this loop; those that came before it was up are carried out. */
-    private static synchronized void serves(EventLoop loop) {
-        serving = loop;
-        if (reloadAsked) {
+    /** Makes this event loop handle all further signals, and carries out those that arrived before it was up. */
+    private static synchronized void attach(EventLoop loop) {
+        servingLoop = loop;
+        if (reloadPending) {
             reload();
         }
-        if (stopAsked) {
+        if (stopPending) {
             loop.stop();
         }
     }
 
+    /**
+     * Returns the logger. It is not a constant, since a logger made before {@link Logs#choose} would fix the library.
+     */
     private static Logger log() {
-        return LoggerFactory.getLogger(Main.class); // not before the library of the logs was chosen
+        return LoggerFactory.getLogger(Main.class);
     }
 
-    /** Serves the simulator's wire until standard input ends. */
+    /** Serves the simulator's wire protocol until standard input ends. */
     public static void simhost() {
         try (BufferedInputStream in = new BufferedInputStream(System.in, 1 << 16);
                 FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
@@ -151,8 +167,8 @@
         }
     }
 
-    private static void exit(int status, String line) {
-        System.err.println("stoatrill: " + line);
+    private static void exit(int status, String message) {
+        System.err.println("stoatrill: " + message);
         System.exit(status);
     }
 }
--- a/router/src/main/java/stoatrill/cli/Commands.java
+++ b/router/src/main/java/stoatrill/cli/Commands.java
@@ -22,20 +22,20 @@
 import stoatrill.settings.SettingsFile;
 
 /**
- * The commands that the router alone knows. Each ends with 0 if all went well, 1 if what was looked at is
- * wrong or failed, 2 on wrong usage.
+ * The router's own commands. Each exits with 0 on success, 1 if the checked file is invalid or the run failed, 2 on a
+ * usage or configuration error.
  */
 @Command(
         name = "stoatrill",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class,
-        description = "A router before groups of a primary and its replicas.",
+        description = "A router for groups of a primary and its replicas.",
         synopsisSubcommandLabel = "COMMAND",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:all went well",
-            "1:what was looked at is wrong, or a run failed",
-            "2:wrong usage or configuration"
+            "0:success",
+            "1:the checked file is invalid, or the run failed",
+            "2:usage or configuration error"
         })
 public final class Commands implements Runnable {
     @Spec
@@ -43,7 +43,7 @@
 
     private Commands() {}
 
-    /** The command line, to which other modules may add commands. */
+    /** Creates the command line, to which other modules may add commands. */
     public static CommandLine line() {
         CommandLine line = new CommandLine(new Commands());
         line.addSubcommand(new Serve());
@@ -52,20 +52,20 @@
         return wording(line);
     }
 
-    /** Makes errors one clear line, also of commands that were added later. */
+    /** Sets handlers that report errors as a single line, also for commands that are added later. */
     public static CommandLine wording(CommandLine line) {
         line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setParameterExceptionHandler((e, args) -> {
-            CommandLine at = e.getCommandLine();
-            at.getErr()
-                    .println("stoatrill: " + e.getMessage() + "; see "
-                            + at.getCommandSpec().qualifiedName() + " --help");
+        line.setParameterExceptionHandler((error, args) -> {
+            CommandLine failed = error.getCommandLine();
+            failed.getErr()
+                    .println("stoatrill: " + error.getMessage() + "; see "
+                            + failed.getCommandSpec().qualifiedName() + " --help");
             return 2;
         });
-        line.setExecutionExceptionHandler((e, at, parsed) -> {
-            String what = e.getMessage() == null ? e.toString() : e.getMessage();
-            at.getErr().println("stoatrill: " + what);
-            return e instanceof SettingsException || e instanceof ConfigException ? 2 : 1;
+        line.setExecutionExceptionHandler((error, failed, parsed) -> {
+            String message = error.getMessage() == null ? error.toString() : error.getMessage();
+            failed.getErr().println("stoatrill: " + message);
+            return error instanceof SettingsException || error instanceof ConfigException ? 2 : 1;
         });
         return line;
     }
@@ -75,7 +75,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "no command was given");
     }
 
-    /** The version that the jar was built with. */
+    /** Prints the version of the jar. */
     public static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -90,17 +90,17 @@
             versionProvider = Version.class,
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:all went well",
-                "1:what was looked at is wrong, or it failed",
-                "2:wrong usage or configuration"
+                "0:success",
+                "1:the checked file is invalid, or the run failed",
+                "2:usage or configuration error"
             },
-            description = "Runs one router in the foreground; PROXY_CONFIG names its configuration.")
+            description = "Runs one router in the foreground. PROXY_CONFIG names its configuration file.")
     private static final class Serve implements Callable<Integer> {
         @Option(
                 names = "--log",
-                paramLabel = "FORM",
+                paramLabel = "FORMAT",
                 defaultValue = "PLAIN",
-                description = "plain, kv (key=value) or json: the form of the log on standard error")
+                description = "plain, kv (key=value) or json: the format of the log on standard error")
         private Logs log;
 
         @Override
@@ -117,11 +117,11 @@
             versionProvider = Version.class,
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:all went well",
-                "1:what was looked at is wrong, or it failed",
-                "2:wrong usage or configuration"
+                "0:success",
+                "1:the checked file is invalid, or the run failed",
+                "2:usage or configuration error"
             },
-            description = "Hosts the decisions on the simulator's wire, on standard input and output.")
+            description = "Serves routing decisions over the simulator's wire protocol, on standard input and output.")
     private static final class Simhost implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -136,14 +136,13 @@
             versionProvider = Version.class,
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:all went well",
-                "1:what was looked at is wrong, or it failed",
-                "2:wrong usage or configuration"
+                "0:success",
+                "1:the checked file is invalid, or the run failed",
+                "2:usage or configuration error"
             },
-            description =
-                    "Reads a configuration (JSON), contracts or any file of settings and says what is wrong with it.")
+            description = "Checks a configuration (JSON), contracts or another settings file and prints its errors.")
     private static final class Check implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "the file; one whose first sign is '{' is JSON")
+        @Parameters(paramLabel = "FILE", description = "the file; read as JSON if its first character is '{'")
         private Path file;
 
         @Spec
@@ -156,10 +155,10 @@
                 if (text.stripLeading().startsWith("{")) {
                     Config.parse(text, Map.of());
                 } else {
-                    Block block = SettingsFile.parse(file.toString(), text);
-                    if (block.directives().stream()
+                    Block contents = SettingsFile.parse(file.toString(), text);
+                    if (contents.directives().stream()
                                     .anyMatch(d -> d.name().text().equals("team"))
-                            && block.directives().stream()
+                            && contents.directives().stream()
                                     .noneMatch(d -> d.name().text().equals("experiment"))) {
                         Contracts.parse(file.toString(), text);
                     }
--- a/router/src/main/java/stoatrill/cli/Logs.java
+++ b/router/src/main/java/stoatrill/cli/Logs.java
@@ -2,13 +2,16 @@
 
 import org.slf4j.MDC;
 
-/** The forms of the log. The one for a plain start is the smallest library, as it counts at every restart. */
+/**
+ * The formats of the log, each written by an slf4j provider. {@link #PLAIN}, the default, uses the smallest library,
+ * since the time to load it adds to every restart.
+ */
 public enum Logs {
-    /** Lines of text by slf4j-simple. */
+    /** Lines of text, written by slf4j-simple. */
     PLAIN("org.slf4j.simple.SimpleServiceProvider", null),
-    /** {@code time=… level=… message=… key=value}, by logback. */
+    /** {@code time=… level=… message=… key=value}, written by logback. */
     KV("ch.qos.logback.classic.spi.LogbackServiceProvider", "logback-kv.xml"),
-    /** One JSON object a line, by logback's encoder. */
+    /** One JSON object a line, written by logback's JSON encoder. */
     JSON("ch.qos.logback.classic.spi.LogbackServiceProvider", "logback-json.xml");
 
     private final String provider;
@@ -19,17 +22,17 @@
         this.configuration = configuration;
     }
 
-    /** Says in every line of this thread from now on which router writes it, where the form has a place for that. */
+    /** Adds the router's name to all further log lines of this thread, if the format has a field for it. */
     public static void name(String router) {
         if (System.getProperty("logback.configurationFile") != null) {
             MDC.put("router", router);
         }
     }
 
-    /** Makes this the form of the process's log; of no effect once a logger was made. */
+    /** Selects this format for the process. Has no effect once a logger has been created. */
     public void choose() {
         System.setProperty("slf4j.provider", provider);
-        System.setProperty("slf4j.internal.verbosity", "WARN"); // else the library tells that it was chosen
+        System.setProperty("slf4j.internal.verbosity", "WARN"); // otherwise slf4j logs which provider it uses
         if (configuration != null) {
             System.setProperty("logback.configurationFile", configuration);
         }
--- a/router/src/main/java/stoatrill/cli/package-info.java
+++ b/router/src/main/java/stoatrill/cli/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The command line and the form of the logs, each on a library. It starts what other packages do and decides
- * nothing of routing; a plain {@code serve} loads nothing of it but {@link stoatrill.cli.Logs}.
+ * The command line, on picocli, and the choice of the log format, on slf4j's providers. The package starts what other
+ * packages implement and makes no routing decisions. Of this package, a plain {@code serve} loads only
+ * {@link stoatrill.cli.Logs}.
  */
 package stoatrill.cli;
--- a/router/src/main/java/stoatrill/config/Config.java
+++ b/router/src/main/java/stoatrill/config/Config.java
@@ -19,10 +19,22 @@
 import stoatrill.wire.SettingsParser;
 
 /**
- * What a router is told: the file named by {@code PROXY_CONFIG}, and the variables, which go before it.
- * {@code known} is the list last held, in discovery's form; {@code filed} is discovery's address as the file
- * has it, null if it names none; {@code contracts} are those of the file named by {@code PROXY_CONTRACTS}, null
- * without one.
+ * A router's configuration: the JSON file named by {@code PROXY_CONFIG}, overridden by environment variables.
+ *
+ * @param name the router's name
+ * @param listen the address to accept clients on
+ * @param discovery the address of the discovery service
+ * @param filed the discovery address given in the file, null if the file gives none
+ * @param seed the seed of the router's random numbers
+ * @param sockets how many sockets the router may open
+ * @param known the last known server list, in the format of the discovery service; null if there is none
+ * @param settings the settings of routing
+ * @param zones the names of the zones
+ * @param models the names of the host types
+ * @param connIdle how long a connection may stay idle, in nanoseconds
+ * @param connectTimeout how long a connection attempt may take, in nanoseconds
+ * @param mostHeld how many requests the router may hold at a time
+ * @param contracts the contracts in the file named by {@code PROXY_CONTRACTS}, null if the variable is not set
  */
 public record Config(
         String name,
@@ -40,42 +52,46 @@
         int mostHeld,
         Contracts contracts) {
 
-    private static final int USUAL_SOCKETS = 1024;
+    private static final int DEFAULT_SOCKET_COUNT = 1024;
 
-    /** Reads the environment and the file that it names. */
+    /**
+     * Reads the environment and the files that it names.
+     *
+     * @throws ConfigException if a file can't be read, or its contents are not valid
+     */
     public static Config read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("PROXY_CONFIG");
         if (file == null) {
             throw new ConfigException("PROXY_CONFIG is not set");
         }
-        Config config = parse(text("PROXY_CONFIG", file), environment);
-        String terms = environment.get("PROXY_CONTRACTS");
-        return terms == null ? config : config.with(contracts(terms));
+        Config config = parse(readFile("PROXY_CONFIG", file), environment);
+        String contractsFile = environment.get("PROXY_CONTRACTS");
+        return contractsFile == null ? config : config.withContracts(readContracts(contractsFile));
     }
 
-    private static Contracts contracts(String file) throws ConfigException {
+    private static Contracts readContracts(String file) throws ConfigException {
         try {
-            return Contracts.parse(file, text("PROXY_CONTRACTS", file));
+            return Contracts.parse(file, readFile("PROXY_CONTRACTS", file));
         } catch (SettingsException e) {
             throw new ConfigException(e.getMessage());
         }
     }
 
-    private static String text(String variable, String file) throws ConfigException {
-        Opened<String> read = new FileReader(SystemCalls.PLATFORM).text(file);
-        return switch (read.outcome()) {
-            case PROGRESS -> read.value();
-            case NO_RESOURCE -> throw new ConfigException(unreadable(variable, file, read.why()), true);
+    private static String readFile(String variable, String file) throws ConfigException {
+        Opened<String> result = new FileReader(SystemCalls.PLATFORM).text(file);
+        return switch (result.outcome()) {
+            case PROGRESS -> result.value();
+            case NO_RESOURCE -> throw new ConfigException(readError(variable, file, result.why()), true);
             case FATAL, NOTHING_NOW, END_OF_STREAM, BROKEN ->
-                throw new ConfigException(unreadable(variable, file, read.why()));
+                throw new ConfigException(readError(variable, file, result.why()));
         };
     }
 
-    private static String unreadable(String variable, String file, String why) {
-        return "can't read " + variable + " " + file + ": " + why;
+    private static String readError(String variable, String file, String reason) {
+        return "can't read " + variable + " " + file + ": " + reason;
     }
 
-    private Config with(Contracts terms) {
+    private Config withContracts(Contracts newContracts) {
         return new Config(
                 name,
                 listen,
@@ -90,31 +106,35 @@
                 connIdle,
                 connectTimeout,
                 mostHeld,
-                terms);
+                newContracts);
     }
 
-    /** Reads the text of the file; what the environment says goes before it. */
+    /**
+     * Parses the text of the configuration file. Values in the environment override those in the text.
+     *
+     * @throws ConfigException if the text is not valid
+     */
     public static Config parse(String text, Map<String, String> environment) throws ConfigException {
         try {
-            JsonObject all = JsonParser.parseString(text).getAsJsonObject();
+            JsonObject root = JsonParser.parseString(text).getAsJsonObject();
             Map<String, String> paths = new HashMap<>();
-            flatten("", all.getAsJsonObject("settings"), paths);
+            flatten("", root.getAsJsonObject("settings"), paths);
             SettingsParser.Setup setup = SettingsParser.parse(paths);
-            JsonObject limits = all.has("limits") ? all.getAsJsonObject("limits") : new JsonObject();
+            JsonObject limits = root.has("limits") ? root.getAsJsonObject("limits") : new JsonObject();
             return new Config(
-                    text(all, "name", environment.get("PROXY_NAME"), "router"),
-                    Endpoint.parse(text(all, "listen", environment.get("PROXY_LISTEN"), "")),
-                    Endpoint.parse(text(all, "discovery", environment.get("PROXY_DISCOVERY"), "")),
-                    all.has("discovery") ? Endpoint.parse(text(all, "discovery", null, "")) : null,
-                    seed(text(all, "seed", null, "0")),
-                    sockets(limits.get("sockets")),
-                    all.has("known") ? all.get("known").toString() : null,
+                    text(root, "name", environment.get("PROXY_NAME"), "router"),
+                    Endpoint.parse(text(root, "listen", environment.get("PROXY_LISTEN"), "")),
+                    Endpoint.parse(text(root, "discovery", environment.get("PROXY_DISCOVERY"), "")),
+                    root.has("discovery") ? Endpoint.parse(text(root, "discovery", null, "")) : null,
+                    parseSeed(text(root, "seed", null, "0")),
+                    parseSocketCount(limits.get("sockets")),
+                    root.has("known") ? root.get("known").toString() : null,
                     setup.settings(),
-                    names(paths, "zones"),
-                    names(paths, "hostTypes"),
-                    whole(paths, "allowed.connIdle", 30_000_000_000L),
-                    whole(paths, "allowed.connectTimeout", 250_000_000L),
-                    (int) Math.min(Integer.MAX_VALUE, whole(paths, "allowed.mostHeld", 20_000)),
+                    splitNames(paths, "zones"),
+                    splitNames(paths, "hostTypes"),
+                    wholeNumber(paths, "allowed.connIdle", 30_000_000_000L),
+                    wholeNumber(paths, "allowed.connectTimeout", 250_000_000L),
+                    (int) Math.min(Integer.MAX_VALUE, wholeNumber(paths, "allowed.mostHeld", 20_000)),
                     null);
         } catch (MalformedInputException e) {
             throw new ConfigException(e.getMessage());
@@ -123,52 +143,55 @@
                 | ClassCastException
                 | NumberFormatException
                 | NullPointerException e) {
-            throw new ConfigException("the configuration is not of the form expected: "
+            throw new ConfigException("the configuration does not have the expected structure: "
                     + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
     }
 
-    /** Turns nested JSON into the simulator's pairs of path and value, which have one parser for both. */
-    private static void flatten(String path, JsonElement value, Map<String, String> into) {
+    /**
+     * Converts nested JSON into pairs of a dotted path and a value. The simulator sends its settings in that form, so
+     * one parser reads both.
+     */
+    private static void flatten(String path, JsonElement value, Map<String, String> target) {
         if (value instanceof JsonObject object) {
             object.entrySet()
-                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), into));
+                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), target));
         } else if (value instanceof JsonArray array) {
             if (array.size() > 0 && array.get(0).isJsonObject()) {
-                into.put(path + ".count", Integer.toString(array.size()));
+                target.put(path + ".count", Integer.toString(array.size()));
                 for (int i = 0; i < array.size(); i++) {
-                    flatten(path + "." + i, array.get(i), into);
+                    flatten(path + "." + i, array.get(i), target);
                 }
             } else {
                 StringBuilder joined = new StringBuilder();
                 array.forEach(e -> joined.append(joined.length() > 0 ? "," : "").append(e.getAsString()));
-                into.put(path, joined.toString());
+                target.put(path, joined.toString());
             }
         } else if (value != null && value.isJsonPrimitive()) {
-            into.put(path, value.getAsString());
+            target.put(path, value.getAsString());
         }
     }
 
-    private static String text(JsonObject from, String name, String instead, String otherwise) {
-        return instead != null ? instead : from.has(name) ? from.get(name).getAsString() : otherwise;
+    private static String text(JsonObject object, String name, String override, String fallback) {
+        return override != null ? override : object.has(name) ? object.get(name).getAsString() : fallback;
     }
 
-    private static List<String> names(Map<String, String> paths, String path) {
+    private static List<String> splitNames(Map<String, String> paths, String path) {
         String joined = paths.getOrDefault(path, "");
         return joined.isEmpty() ? List.of() : List.of(joined.split(","));
     }
 
-    private static long whole(Map<String, String> paths, String path, long otherwise) throws ConfigException {
-        String text = paths.getOrDefault(path, Long.toString(otherwise));
+    private static long wholeNumber(Map<String, String> paths, String path, long fallback) throws ConfigException {
+        String text = paths.getOrDefault(path, Long.toString(fallback));
         if (!text.matches("\\d{1,18}")) {
             throw new ConfigException("settings: " + path + " is " + text + "; a whole number from 0 on is expected");
         }
         return Long.parseLong(text);
     }
 
-    private static int sockets(JsonElement value) throws ConfigException {
+    private static int parseSocketCount(JsonElement value) throws ConfigException {
         if (value == null) {
-            return USUAL_SOCKETS;
+            return DEFAULT_SOCKET_COUNT;
         }
         try {
             int sockets = value.getAsInt();
@@ -176,13 +199,13 @@
                 return sockets;
             }
         } catch (NumberFormatException | IllegalStateException | UnsupportedOperationException e) {
-            // said below
+            // reported below
         }
         throw new ConfigException("limits.sockets is " + value + "; a whole number from 1 on is expected");
     }
 
-    /** Hexadecimal by custom; any other text is as good a source. */
-    private static long seed(String text) {
+    /** Parses a seed, which is hexadecimal by convention. Uses the hash of any other text. */
+    private static long parseSeed(String text) {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
--- a/router/src/main/java/stoatrill/config/ConfigException.java
+++ b/router/src/main/java/stoatrill/config/ConfigException.java
@@ -1,23 +1,28 @@
 package stoatrill.config;
 
-/** A configuration that a router can't start with; the message is one plain line. */
+/** Thrown for a configuration that a router can't start with. The message is a single line. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final boolean passes;
+    private final boolean isTransient;
 
+    /** Creates an exception for a permanent error: reading the configuration again would not help. */
     public ConfigException(String message) {
         this(message, false);
     }
 
-    /** {@code passes}: whether it may be another time, since it was the reading that failed. */
-    public ConfigException(String message, boolean passes) {
+    /**
+     * Creates an exception.
+     *
+     * @param isTransient whether reading the configuration again may succeed, because the read itself failed
+     */
+    public ConfigException(String message, boolean isTransient) {
         super(message);
-        this.passes = passes;
+        this.isTransient = isTransient;
     }
 
-    /** Whether reading it again may succeed. */
-    public boolean passes() {
-        return passes;
+    /** Returns whether reading the configuration again may succeed. */
+    public boolean isTransient() {
+        return isTransient;
     }
 }
--- a/router/src/main/java/stoatrill/config/package-info.java
+++ b/router/src/main/java/stoatrill/config/package-info.java
@@ -1,2 +1,2 @@
-/** What the platform tells a router at its start. */
+/** The configuration that the platform gives a router: a JSON file, and environment variables that override it. */
 package stoatrill.config;
--- a/router/src/main/java/stoatrill/homes/FirstHomes.java
+++ b/router/src/main/java/stoatrill/homes/FirstHomes.java
@@ -5,25 +5,27 @@
 import java.util.List;
 
 /**
- * Chooses which home of each group comes first, so that no router is first for more than a given number of groups:
- * bipartite matching by augmenting paths (Kuhn's algorithm). It succeeds for any number from the largest load divided
- * by the homes of a group, rounded up, since each group could give each of its homes an equal part.
+ * Chooses the first home of each group, so that no router is first for more than a given number of groups. This is a
+ * bipartite matching by augmenting paths (Kuhn's algorithm). It succeeds if the limit is at least the largest load of a
+ * router divided by the homes of a group, rounded up, since each group could be split evenly over its homes.
  */
 final class FirstHomes {
     private final int[][] homes;
-    private final int atMost;
-    private final List<List<Integer>> groupsOfFirst = new ArrayList<>();
+    private final int maxFirstsPerRouter;
+    private final List<List<Integer>> groupsByFirst = new ArrayList<>();
 
     /**
-     * Takes the homes of each group in the order in which they are to be tried.
+     * Creates a matching.
      *
-     * @param homes of each group, whose order is changed by {@link #moveToFront()}
+     * @param homes the homes of each group, in the order in which to try them; {@link #moveToFront()} reorders them
+     * @param routerCount the number of routers
+     * @param maxFirstsPerRouter the most groups that a router may be first for
      */
-    FirstHomes(int[][] homes, int routers, int atMost) {
+    FirstHomes(int[][] homes, int routerCount, int maxFirstsPerRouter) {
         this.homes = homes;
-        this.atMost = atMost;
-        for (int router = 0; router < routers; router++) {
-            groupsOfFirst.add(new ArrayList<>());
+        this.maxFirstsPerRouter = maxFirstsPerRouter;
+        for (int router = 0; router < routerCount; router++) {
+            groupsByFirst.add(new ArrayList<>());
         }
     }
 
@@ -32,19 +34,20 @@
         for (int group = 0; group < homes.length; group++) {
             place(group, new BitSet());
         }
-        for (int router = 0; router < groupsOfFirst.size(); router++) {
-            for (int group : groupsOfFirst.get(router)) {
+        for (int router = 0; router < groupsByFirst.size(); router++) {
+            for (int group : groupsByFirst.get(router)) {
                 moveToFront(homes[group], router);
             }
         }
     }
 
+    /** Finds a first home for a group, moving other groups if needed. Returns whether there is one. */
     private boolean place(int group, BitSet tried) {
         for (int router : homes[group]) {
             if (!tried.get(router)) {
                 tried.set(router);
                 if (makeRoom(router, tried)) {
-                    groupsOfFirst.get(router).add(group);
+                    groupsByFirst.get(router).add(group);
                     return true;
                 }
             }
@@ -52,14 +55,15 @@
         return false;
     }
 
+    /** Moves a group off a full router to another of its homes. Returns whether the router has room. */
     private boolean makeRoom(int router, BitSet tried) {
-        List<Integer> taken = groupsOfFirst.get(router);
-        if (taken.size() < atMost) {
+        List<Integer> placed = groupsByFirst.get(router);
+        if (placed.size() < maxFirstsPerRouter) {
             return true;
         }
-        for (int at = 0; at < taken.size(); at++) {
-            if (place(taken.get(at), tried)) {
-                taken.remove(at);
+        for (int index = 0; index < placed.size(); index++) {
+            if (place(placed.get(index), tried)) {
+                placed.remove(index);
                 return true;
             }
         }
@@ -67,11 +71,11 @@
     }
 
     private static void moveToFront(int[] routers, int first) {
-        int at = 0;
-        while (routers[at] != first) {
-            at++;
+        int index = 0;
+        while (routers[index] != first) {
+            index++;
         }
-        System.arraycopy(routers, 0, routers, 1, at);
+        System.arraycopy(routers, 0, routers, 1, index);
         routers[0] = first;
     }
 }
--- a/router/src/main/java/stoatrill/homes/HomeAssignment.java
+++ b/router/src/main/java/stoatrill/homes/HomeAssignment.java
@@ -7,18 +7,19 @@
 
 /**
  * The homes of all groups in one zone, by rendezvous hashing (Thaler and Ravishankar) with bounded loads (Mirrokni,
- * Thorup and Zadimoghaddam): every router that knows the same eligible routers and groups computes the same homes,
- * without a message. Immutable and safe for use by several threads.
+ * Thorup and Zadimoghaddam). Routers that know the same eligible routers and groups compute the same homes without
+ * exchanging messages. Immutable and thread-safe.
  *
  * <p>No router is home to more than ceil(loadFactor x groups x homes / routers) groups, nor the first home of more than
- * ceil(loadFactor x groups / routers). With no more routers than homes, all are home to every group.
+ * ceil(loadFactor x groups / routers). If there are no more routers than homes per group, every
+ * router is home to every group.
  *
- * <p>Cost for R routers and G groups: time O(R G log(R G)), 8 R G bytes while it is computed; a lookup is a binary
+ * <p>For R routers and G groups, the computation takes O(R G log(R G)) time and 8 R G bytes. A lookup is a binary
  * search over the groups.
  */
 public final class HomeAssignment {
-    /** The largest product of routers and groups: 4,096 of each, for which 128 MB are taken while it is computed. */
-    public static final int MAX_PAIRS = 1 << HomeChooser.PLACE_BITS;
+    /** The largest product of routers and groups: 4,096 of each, for which the computation takes 128 MB. */
+    public static final int MAX_PAIRS = 1 << HomeChooser.PAIR_INDEX_BITS;
 
     private final int[] groups;
     private final List<Homes> homes;
@@ -31,11 +32,11 @@
     /**
      * Computes the homes.
      *
-     * @param routers the names of the zone's routers that are eligible, in any order
+     * @param routers the names of the eligible routers of the zone, in any order
      * @param groups the numbers of the groups, in any order
-     * @param settings homes of a group, and the bound on a router's load
-     * @return the homes of each group; none for any group if there are no routers
-     * @throws InvalidHomesException if routers times groups are above {@link #MAX_PAIRS}
+     * @param settings the number of homes of a group, and the bound on a router's load
+     * @return the homes of each group; empty for every group if there are no routers
+     * @throws InvalidHomesException if the number of routers times that of groups is above {@link #MAX_PAIRS}
      */
     public static HomeAssignment of(Set<String> routers, Set<Integer> groups, HomeSettings settings) {
         long pairs = (long) routers.size() * groups.size();
@@ -44,25 +45,27 @@
                     InvalidHomesException.Problem.TOO_MANY_PAIRS,
                     routers.size() + " routers times " + groups.size() + " groups are above " + MAX_PAIRS);
         }
-        String[] names = routers.stream().sorted().toArray(String[]::new);
-        int[] numbers = groups.stream().mapToInt(Integer::intValue).sorted().toArray();
-        int[][] chosen = new HomeChooser(names, numbers, settings).choose();
-        List<Homes> homes = new ArrayList<>(numbers.length);
-        for (int at = 0; at < numbers.length; at++) {
-            List<String> ofGroup =
-                    Arrays.stream(chosen[at]).mapToObj(router -> names[router]).toList();
-            homes.add(new Homes(numbers[at], ofGroup));
+        String[] routerNames = routers.stream().sorted().toArray(String[]::new);
+        int[] groupNumbers =
+                groups.stream().mapToInt(Integer::intValue).sorted().toArray();
+        int[][] chosen = new HomeChooser(routerNames, groupNumbers, settings).choose();
+        List<Homes> homes = new ArrayList<>(groupNumbers.length);
+        for (int index = 0; index < groupNumbers.length; index++) {
+            List<String> homesOfGroup = Arrays.stream(chosen[index])
+                    .mapToObj(router -> routerNames[router])
+                    .toList();
+            homes.add(new Homes(groupNumbers[index], homesOfGroup));
         }
-        return new HomeAssignment(numbers, List.copyOf(homes));
+        return new HomeAssignment(groupNumbers, List.copyOf(homes));
     }
 
-    /** Returns the homes of a group; none if the group is not known. */
+    /** Returns the homes of a group; empty if the group is not known. */
     public Homes of(int group) {
-        int at = Arrays.binarySearch(groups, group);
-        return at >= 0 ? homes.get(at) : new Homes(group, List.of());
+        int index = Arrays.binarySearch(groups, group);
+        return index >= 0 ? homes.get(index) : new Homes(group, List.of());
     }
 
-    /** Returns the homes of all groups, by rising numbers of the groups. */
+    /** Returns the homes of all groups, in ascending order of group number. */
     public List<Homes> all() {
         return homes;
     }
--- a/router/src/main/java/stoatrill/homes/HomeChooser.java
+++ b/router/src/main/java/stoatrill/homes/HomeChooser.java
@@ -6,21 +6,21 @@
 import java.util.stream.IntStream;
 
 /**
- * Chooses the homes of all groups of a zone once. Routers and groups are numbered from 0 in the order of their names
- * and numbers. Not for several threads.
+ * Computes the homes of all groups of a zone; each instance is for one computation. Routers and groups are identified
+ * by their index in the sorted names and numbers. Not thread-safe.
  */
 final class HomeChooser {
-    /** A pair's place takes so many of the lower bits of a sortable number; the weight's upper bits take the rest. */
-    static final int PLACE_BITS = 24;
+    /** How many lower bits of a sort key hold the index of a pair; the upper bits of its weight take the rest. */
+    static final int PAIR_INDEX_BITS = 24;
 
-    private static final long PLACE_MASK = (1L << PLACE_BITS) - 1;
+    private static final long PAIR_INDEX_MASK = (1L << PAIR_INDEX_BITS) - 1;
 
     private final long[] nameHashes;
     private final int[] groups;
     private final int homesPerGroup;
-    private final int[] capacity;
-    private final int[] load;
-    /** For each group the routers that are home to it. */
+    private final int[] capacities;
+    private final int[] loads;
+    /** The routers that are home to each group. */
     private final BitSet[] homes;
 
     HomeChooser(String[] routers, int[] groups, HomeSettings settings) {
@@ -28,26 +28,27 @@
                 Arrays.stream(routers).mapToLong(RendezvousHash::ofName).toArray();
         this.groups = groups;
         this.homesPerGroup = Math.min(settings.homesPerGroup(), routers.length);
-        this.capacity = capacities(settings.loadFactor());
-        this.load = new int[routers.length];
+        this.capacities = computeCapacities(settings.loadFactor());
+        this.loads = new int[routers.length];
         this.homes = IntStream.range(0, groups.length)
                 .mapToObj(group -> new BitSet(routers.length))
                 .toArray(BitSet[]::new);
     }
 
     /**
-     * Returns for each group its homes, the first one first and the rest by falling weight.
+     * Returns the homes of each group: its first home, then the others by descending weight.
      *
-     * <p>Pairs of router and group are taken by falling weight, each unless its group has its homes or its router is
-     * full. A pair's weight does not depend on other routers, so a router that leaves or joins moves only the duties
-     * that it had or gets, those that the changed capacities let through, and what these push away.
+     * <p>Pairs of a router and a group are visited by descending weight. A pair is assigned unless its group already
+     * has all its homes or its router is full. The weight of a pair does not depend on other routers. A router that
+     * leaves or joins therefore moves only the assignments that it had or gets, those that the changed capacities
+     * allow, and those that these displace.
      */
     int[][] choose() {
         for (long pair : pairsByWeight()) {
-            int place = (int) (pair & PLACE_MASK);
-            int group = place / nameHashes.length;
-            int router = place % nameHashes.length;
-            if (homes[group].cardinality() < homesPerGroup && load[router] < capacity[router]) {
+            int pairIndex = (int) (pair & PAIR_INDEX_MASK);
+            int group = pairIndex / nameHashes.length;
+            int router = pairIndex % nameHashes.length;
+            if (homes[group].cardinality() < homesPerGroup && loads[router] < capacities[router]) {
                 add(group, router);
             }
         }
@@ -60,40 +61,40 @@
         for (int group = 0; group < groups.length; group++) {
             ordered[group] = byWeight(group);
         }
-        new FirstHomes(ordered, nameHashes.length, firstsAtMost()).moveToFront();
+        new FirstHomes(ordered, nameHashes.length, maxFirstsPerRouter()).moveToFront();
         return ordered;
     }
 
     /**
-     * Splits ceil(loadFactor x groups x homes) over the routers as evenly as whole numbers allow, so that a change of
-     * one router changes few capacities, by one each. Those with the smallest hashes get one more.
+     * Splits ceil(loadFactor x groups x homes) over the routers as evenly as whole numbers allow, so that adding or
+     * removing one router changes few capacities, by one each. The routers with the smallest hashes get one more.
      */
-    private int[] capacities(double loadFactor) {
-        int routers = nameHashes.length;
+    private int[] computeCapacities(double loadFactor) {
+        int routerCount = nameHashes.length;
         long total = (long) Math.ceil(loadFactor * groups.length * homesPerGroup);
-        int[] all = new int[routers];
-        int[] byHash = IntStream.range(0, routers)
+        int[] result = new int[routerCount];
+        int[] byHash = IntStream.range(0, routerCount)
                 .boxed()
                 .sorted(Comparator.comparingLong((Integer router) -> nameHashes[router])
                         .thenComparing(Comparator.naturalOrder()))
                 .mapToInt(Integer::intValue)
                 .toArray();
-        for (int rank = 0; rank < routers; rank++) {
-            long share = total / routers + (rank < total % routers ? 1 : 0);
-            all[byHash[rank]] = (int) Math.min(groups.length, share);
+        for (int rank = 0; rank < routerCount; rank++) {
+            long share = total / routerCount + (rank < total % routerCount ? 1 : 0);
+            result[byHash[rank]] = (int) Math.min(groups.length, share);
         }
-        return all;
+        return result;
     }
 
-    /** All pairs, by falling weight; equal upper bits of weights stand by their places. */
+    /** Returns the sort keys of all pairs by descending weight; pairs whose upper weight bits are equal, by index. */
     private long[] pairsByWeight() {
         long[] pairs = new long[groups.length * nameHashes.length];
         for (int group = 0; group < groups.length; group++) {
             for (int router = 0; router < nameHashes.length; router++) {
-                int place = group * nameHashes.length + router;
-                // Complemented, since the sort is by rising numbers.
+                int pairIndex = group * nameHashes.length + router;
+                // Complemented because the sort is ascending.
                 long weight = ~RendezvousHash.weight(nameHashes[router], groups[group]);
-                pairs[place] = (weight & ~PLACE_MASK) | place;
+                pairs[pairIndex] = (weight & ~PAIR_INDEX_MASK) | pairIndex;
             }
         }
         Arrays.sort(pairs);
@@ -102,31 +103,32 @@
 
     private void add(int group, int router) {
         homes[group].set(router);
-        load[router]++;
+        loads[router]++;
     }
 
     /**
-     * Gives a group a full router whose duty for another group goes to one that has room, which is a home of the group
-     * itself. There always is such another group: all routers but the group's homes are full, and if each group of a
-     * full router had the one with room too, that one would have a group more and so be full as well, since capacities
-     * differ by one at most.
+     * Adds a full router to the homes of a group, after handing another group of that router to a router with room. The
+     * router with room is itself a home of the group. There is always such another group: all routers except the
+     * group's homes are full. If every group of the full router had the one with room too, that router would have one
+     * group more and so be full as well, since capacities differ by one at most.
      */
     private void addByExchange(int group) {
-        int roomy = IntStream.range(0, load.length)
-                .filter(router -> load[router] < capacity[router])
+        int withRoom = IntStream.range(0, loads.length)
+                .filter(router -> loads[router] < capacities[router])
                 .findFirst()
                 .orElseThrow();
-        int full = homes[group].nextClearBit(0);
-        int other = IntStream.range(0, groups.length)
-                .filter(each -> homes[each].get(full) && !homes[each].get(roomy))
+        int fullRouter = homes[group].nextClearBit(0);
+        int otherGroup = IntStream.range(0, groups.length)
+                .filter(each -> homes[each].get(fullRouter) && !homes[each].get(withRoom))
                 .findFirst()
                 .orElseThrow();
-        homes[other].clear(full);
-        homes[other].set(roomy);
-        load[roomy]++;
-        homes[group].set(full);
+        homes[otherGroup].clear(fullRouter);
+        homes[otherGroup].set(withRoom);
+        loads[withRoom]++;
+        homes[group].set(fullRouter);
     }
 
+    /** Returns the homes of a group by descending weight. */
     private int[] byWeight(int group) {
         return homes[group].stream()
                 .boxed()
@@ -137,9 +139,11 @@
                 .toArray();
     }
 
-    /** The largest load of a router, an equal part of it for each place in the order of homes. */
-    private int firstsAtMost() {
-        int most = Arrays.stream(capacity).max().orElse(0);
-        return homesPerGroup == 0 ? 0 : (most + homesPerGroup - 1) / homesPerGroup;
+    /**
+     * Returns the limit on first homes of a router: the largest capacity divided by the homes of a group, rounded up.
+     */
+    private int maxFirstsPerRouter() {
+        int maxCapacity = Arrays.stream(capacities).max().orElse(0);
+        return homesPerGroup == 0 ? 0 : (maxCapacity + homesPerGroup - 1) / homesPerGroup;
     }
 }
--- a/router/src/main/java/stoatrill/homes/InvalidHomesException.java
+++ b/router/src/main/java/stoatrill/homes/InvalidHomesException.java
@@ -1,6 +1,6 @@
 package stoatrill.homes;
 
-/** An argument from which no homes can be computed. */
+/** Thrown for arguments from which no homes can be computed. */
 public final class InvalidHomesException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -8,9 +8,9 @@
     public enum Problem {
         /** The number of homes of a group is below 1 or above {@link HomeSettings#MAX_HOMES_PER_GROUP}. */
         HOMES_PER_GROUP,
-        /** The load factor is no number, below 1 or above {@link HomeSettings#MAX_LOAD_FACTOR}. */
+        /** The load factor is not a number, below 1 or above {@link HomeSettings#MAX_LOAD_FACTOR}. */
         LOAD_FACTOR,
-        /** Routers times groups are above {@link HomeAssignment#MAX_PAIRS}. */
+        /** The number of routers times that of groups is above {@link HomeAssignment#MAX_PAIRS}. */
         TOO_MANY_PAIRS
     }
 
--- a/router/src/main/java/stoatrill/homes/package-info.java
+++ b/router/src/main/java/stoatrill/homes/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Decides which routers of a zone are home to a group of databases. No sockets, clocks, threads, files or logging; it
- * does not pick a server and does not know whether a router is alive: the eligible routers come in as arguments.
+ * Assigns to each group of databases the routers of a zone that are its homes. The package uses no sockets, clocks,
+ * threads, files or logging. It does not pick servers and does not check whether a router is alive: the eligible
+ * routers are arguments.
  */
 package stoatrill.homes;
--- a/router/src/main/java/stoatrill/settings/Block.java
+++ b/router/src/main/java/stoatrill/settings/Block.java
@@ -2,5 +2,10 @@
 
 import java.util.List;
 
-/** The directives between two braces, or of a whole file; {@code at} is where it opens. */
+/**
+ * The directives between two braces, or those of a whole file.
+ *
+ * @param directives the directives in the order of the file
+ * @param at where the block opens
+ */
 public record Block(List<Directive> directives, Place at) {}
--- a/router/src/main/java/stoatrill/settings/Directive.java
+++ b/router/src/main/java/stoatrill/settings/Directive.java
@@ -2,10 +2,16 @@
 
 import java.util.List;
 
-/** A line: its name, the words after it, and the block that it opens; {@code block} is null if it opens none. */
+/**
+ * One line of a settings file.
+ *
+ * @param name the first word
+ * @param words the words after the name
+ * @param block the block that the line opens, null if it opens none
+ */
 public record Directive(Word name, List<Word> words, Block block) {
 
-    /** Where its name stands. */
+    /** Returns the position of the name. */
     public Place place() {
         return name.place();
     }
--- a/router/src/main/java/stoatrill/settings/Place.java
+++ b/router/src/main/java/stoatrill/settings/Place.java
@@ -1,6 +1,6 @@
 package stoatrill.settings;
 
-/** Where something stands in a file; lines and columns count from 1. */
+/** A position in a file. Lines and columns are numbered from 1. */
 public record Place(String file, int line, int column) {
     @Override
     public String toString() {
--- a/router/src/main/java/stoatrill/settings/Problems.java
+++ b/router/src/main/java/stoatrill/settings/Problems.java
@@ -4,23 +4,31 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Gathers what is wrong with a file, so that one look at it shows everything. */
+/** Collects the errors of a file, so that all of them are reported at once. Not thread-safe. */
 public final class Problems {
-    private record Problem(Place place, String what) {}
+    private record Problem(Place place, String message) {}
 
     private final List<Problem> found = new ArrayList<>();
 
-    /** Notes one; {@code what} says what is wrong and what to write instead. */
-    public void add(Place place, String what) {
-        found.add(new Problem(place, what));
+    /**
+     * Adds an error.
+     *
+     * @param message what is wrong, and what to write instead
+     */
+    public void add(Place place, String message) {
+        found.add(new Problem(place, message));
     }
 
-    /** Whether nothing was found so far. */
+    /** Returns whether there are no errors so far. */
     public boolean none() {
         return found.isEmpty();
     }
 
-    /** Throws if anything was found. */
+    /**
+     * Throws if there are errors.
+     *
+     * @throws SettingsException with all errors, ordered by file, line and column
+     */
     public void check() throws SettingsException {
         if (!found.isEmpty()) {
             List<Problem> sorted = new ArrayList<>(found);
@@ -28,7 +36,7 @@
                     .thenComparingInt(p -> p.place().line())
                     .thenComparingInt(p -> p.place().column()));
             throw new SettingsException(
-                    sorted.stream().map(p -> p.place() + ": " + p.what()).toList());
+                    sorted.stream().map(p -> p.place() + ": " + p.message()).toList());
         }
     }
 }
--- a/router/src/main/java/stoatrill/settings/Quantity.java
+++ b/router/src/main/java/stoatrill/settings/Quantity.java
@@ -6,9 +6,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The kinds of quantity, with the units that each may have and how large each unit is. */
+/** The kinds of quantity, each with its units and their sizes. */
 public enum Quantity {
-    /** In nanoseconds. */
+    /** A time span, in nanoseconds. */
     SPAN(
             "a time with a unit",
             "300ms, 2s, 5m, 1h or 1d",
@@ -27,7 +27,7 @@
                     3_600_000_000_000L,
                     "d",
                     86_400_000_000_000L)),
-    /** In bytes. */
+    /** A size, in bytes. */
     SIZE(
             "a size with a unit",
             "512B, 64KiB, 10MB or 1GiB",
@@ -48,23 +48,23 @@
                     1_000_000_000L,
                     "GiB",
                     1L << 30)),
-    /** Per day, so that every unit is exact. */
+    /** A rate, in events a day, so that every unit is a whole number. */
     RATE("a rate with a unit", "200/s, 30/m or 5/h", units("/s", 86_400L, "/m", 1_440L, "/h", 24L, "/d", 1L)),
-    /** In parts of a million. */
+    /** A share, in parts per million. */
     SHARE("a share in percent", "30% or 2.5%", units("%", 10_000L)),
-    /** A plain number, in thousandths. */
+    /** A decimal number without a unit, in thousandths. */
     NUMBER("a number", "2.4", units("", 1_000L)),
-    /** A whole number. */
+    /** A whole number without a unit. */
     COUNT("a whole number", "12", units("", 1L));
 
-    final String name;
+    final String description;
     final String example;
 
-    @SuppressWarnings("ImmutableEnumChecker") // an unmodifiable map, made by units() and kept nowhere else
+    @SuppressWarnings("ImmutableEnumChecker") // an unmodifiable map, which units() makes and keeps no reference to
     private final Map<String, Long> units;
 
-    Quantity(String name, String example, Map<String, Long> units) {
-        this.name = name;
+    Quantity(String description, String example, Map<String, Long> units) {
+        this.description = description;
         this.example = example;
         this.units = units;
     }
@@ -78,9 +78,10 @@
     }
 
     /**
-     * The value in the kind's own unit.
+     * Parses a number with its unit.
      *
-     * @throws IllegalArgumentException with a sentence that says what to write instead
+     * @return the value in this kind's own unit
+     * @throws IllegalArgumentException if the text is not such a quantity; the message says what to write instead
      */
     public long parse(String text) {
         int end = 0;
@@ -91,20 +92,21 @@
         try {
             number = new BigDecimal(text.substring(0, end));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("\"" + text + "\" is not " + name + "; write for example " + example);
+            throw new IllegalArgumentException(
+                    "\"" + text + "\" is not " + description + "; write for example " + example);
         }
         String unit = text.substring(end);
-        Long size = units.get(unit);
-        if (size == null && unit.isEmpty()) {
+        Long unitSize = units.get(unit);
+        if (unitSize == null && unit.isEmpty()) {
             throw new IllegalArgumentException("\"" + text + "\" has no unit; write for example " + example);
         }
-        if (size == null) {
+        if (unitSize == null) {
             throw new IllegalArgumentException("\"" + text + "\" has the unit \"" + unit + "\", which is not one of "
                     + (units.containsKey("") ? "those: a plain number is wanted" : String.join(", ", units.keySet()))
                     + "; write for example " + example);
         }
         try {
-            return number.multiply(BigDecimal.valueOf(size))
+            return number.multiply(BigDecimal.valueOf(unitSize))
                     .setScale(0, this == COUNT ? RoundingMode.UNNECESSARY : RoundingMode.HALF_EVEN)
                     .longValueExact();
         } catch (ArithmeticException e) {
@@ -114,18 +116,18 @@
         }
     }
 
-    /** The value with the largest unit that leaves no rest. */
+    /** Formats a value, given in this kind's own unit, with the unit that makes the text shortest. */
     public String format(long value) {
-        String best = null;
+        String shortest = null;
         for (Map.Entry<String, Long> unit : units.entrySet()) {
             BigDecimal number = BigDecimal.valueOf(value)
                     .divide(BigDecimal.valueOf(unit.getValue()), 9, RoundingMode.HALF_EVEN)
                     .stripTrailingZeros();
             String text = number.toPlainString() + unit.getKey();
-            if (best == null || text.length() < best.length()) {
-                best = text;
+            if (shortest == null || text.length() < shortest.length()) {
+                shortest = text;
             }
         }
-        return best;
+        return shortest;
     }
 }
--- a/router/src/main/java/stoatrill/settings/Reader.java
+++ b/router/src/main/java/stoatrill/settings/Reader.java
@@ -9,207 +9,225 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the directives of one block by name and type. What is wrong goes to {@link Problems} and the value
- * falls back to the one given, so that reading goes on; {@link #done} then tells of every directive that nobody
- * asked for. Not to be shared between threads.
+ * Reads the directives of one block by name and type. An invalid directive is added to {@link Problems} and its
+ * fallback value is returned, so that reading goes on. {@link #done} then reports every directive whose name was never
+ * requested. Not thread-safe.
  */
 public final class Reader {
     private final Block block;
     private final Problems problems;
-    private final Map<String, List<Directive>> byName = new HashMap<>();
-    private final Set<String> asked = new HashSet<>();
+    private final Map<String, List<Directive>> directivesByName = new HashMap<>();
+    private final Set<String> requestedNames = new HashSet<>();
 
+    /** Creates a reader of a block that adds errors to {@code problems}. */
     public Reader(Block block, Problems problems) {
         this.block = block;
         this.problems = problems;
-        for (Directive d : block.directives()) {
-            byName.computeIfAbsent(d.name().text(), n -> new ArrayList<>()).add(d);
+        for (Directive directive : block.directives()) {
+            directivesByName
+                    .computeIfAbsent(directive.name().text(), unused -> new ArrayList<>())
+                    .add(directive);
         }
     }
 
-    /** All directives of that name, in the order of the file. */
+    /** Returns all directives of a name, in the order of the file. */
     public List<Directive> all(String name) {
-        asked.add(name);
-        return byName.getOrDefault(name, List.of());
+        requestedNames.add(name);
+        return directivesByName.getOrDefault(name, List.of());
     }
 
-    /** The directive of that name, or null; a second one is an error. */
+    /** Returns the directive of a name, or null if there is none. A second one is an error. */
     public Directive one(String name) {
-        List<Directive> all = all(name);
-        for (int i = 1; i < all.size(); i++) {
+        List<Directive> matches = all(name);
+        for (int i = 1; i < matches.size(); i++) {
             problems.add(
-                    all.get(i).place(),
+                    matches.get(i).place(),
                     "\"" + name + "\" is already given in line "
-                            + all.get(0).place().line() + "; keep one of them");
+                            + matches.get(0).place().line() + "; keep one of them");
         }
-        return all.isEmpty() ? null : all.get(0);
+        return matches.isEmpty() ? null : matches.get(0);
     }
 
-    /** Reads the block of a directive by that name, which may be missing: then of an empty one. */
-    public void block(String name, Consumer<Reader> inside) {
-        Directive d = one(name);
-        Block found = d == null ? new Block(List.of(), block.at()) : d.block();
-        if (found == null) {
-            problems.add(d.place(), "\"" + name + "\" opens a block; end the line with '{'");
+    /** Passes a reader of a directive's block to a consumer, or one of an empty block if there is no such directive. */
+    public void block(String name, Consumer<Reader> consumer) {
+        Directive directive = one(name);
+        Block directiveBlock = directive == null ? new Block(List.of(), block.at()) : directive.block();
+        if (directiveBlock == null) {
+            problems.add(directive.place(), "\"" + name + "\" opens a block; end the line with '{'");
             return;
         }
-        Reader reader = new Reader(found, problems);
-        inside.accept(reader);
+        Reader reader = new Reader(directiveBlock, problems);
+        consumer.accept(reader);
         reader.done();
     }
 
-    /** A reader of a block within this one; the caller calls its {@link #done}. */
-    public Reader inside(Block within) {
-        return new Reader(within, problems);
+    /** Returns a reader of a nested block. The caller calls its {@link #done}. */
+    public Reader inside(Block nested) {
+        return new Reader(nested, problems);
     }
 
-    /** A word or a string. */
-    public String text(String name, String otherwise) {
-        Word w = single(one(name));
-        return w == null ? otherwise : w.text();
+    /** Returns the directive's single word or string, or the fallback. */
+    public String text(String name, String fallback) {
+        Word word = singleWord(one(name));
+        return word == null ? fallback : word.text();
     }
 
-    /** One of some words. */
-    public <E extends Enum<E>> E word(String name, Class<E> kinds, E otherwise) {
-        Word w = single(one(name));
-        return w == null ? otherwise : word(w, kinds, otherwise);
+    /**
+     * Returns the directive's single word as one of an enum's constants, in lower case with dashes, or the fallback.
+     */
+    public <E extends Enum<E>> E word(String name, Class<E> type, E fallback) {
+        Word word = singleWord(one(name));
+        return word == null ? fallback : word(word, type, fallback);
     }
 
-    /** A word of a directive as one of an enumeration's names in lower case with dashes. */
-    public <E extends Enum<E>> E word(Word w, Class<E> kinds, E otherwise) {
+    /** Returns a word as one of an enum's constants, in lower case with dashes, or the fallback. */
+    public <E extends Enum<E>> E word(Word word, Class<E> type, E fallback) {
         List<String> names = new ArrayList<>();
-        for (E e : kinds.getEnumConstants()) {
-            names.add(e.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
+        for (E constant : type.getEnumConstants()) {
+            names.add(constant.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
         }
-        int at = names.indexOf(w.text());
-        if (at < 0) {
+        int index = names.indexOf(word.text());
+        if (index < 0) {
             problems.add(
-                    w.place(),
-                    "\"" + w.text() + "\" is not one of " + String.join(", ", names) + meant(w.text(), names));
-            return otherwise;
+                    word.place(),
+                    "\"" + word.text() + "\" is not one of " + String.join(", ", names)
+                            + suggestion(word.text(), names));
+            return fallback;
         }
-        return kinds.getEnumConstants()[at];
+        return type.getEnumConstants()[index];
     }
 
-    /** A quantity between two bounds, both allowed. */
-    public long quantity(String name, Quantity kind, long least, long most, long otherwise) {
-        Word w = single(one(name));
-        return w == null ? otherwise : quantity(w, kind, least, most, otherwise);
+    /** Returns the directive's single quantity, or the fallback. Both bounds are inclusive. */
+    public long quantity(String name, Quantity kind, long min, long max, long fallback) {
+        Word word = singleWord(one(name));
+        return word == null ? fallback : quantity(word, kind, min, max, fallback);
     }
 
-    /** A word of a directive as a quantity between two bounds, both allowed. */
-    public long quantity(Word w, Quantity kind, long least, long most, long otherwise) {
+    /** Returns a word as a quantity, or the fallback. Both bounds are inclusive. */
+    public long quantity(Word word, Quantity kind, long min, long max, long fallback) {
         try {
-            long value = kind.parse(w.text());
-            if (value >= least && value <= most) {
+            long value = kind.parse(word.text());
+            if (value >= min && value <= max) {
                 return value;
             }
             problems.add(
-                    w.place(),
-                    "\"" + w.text() + "\" is out of range; write " + kind.format(least) + " to " + kind.format(most));
+                    word.place(),
+                    "\"" + word.text() + "\" is out of range; write " + kind.format(min) + " to " + kind.format(max));
         } catch (IllegalArgumentException e) {
-            problems.add(w.place(), e.getMessage());
+            problems.add(word.place(), e.getMessage());
         }
-        return otherwise;
+        return fallback;
     }
 
-    /** A word of a directive as a quantity, or as two with {@code ..} between them: the least and the most. */
-    public long[] range(Word w, Quantity kind, long least, long most, long[] otherwise) {
-        int dots = w.text().indexOf("..");
+    /**
+     * Returns a word as a range of two quantities with {@code ..} between them, smaller one first. A single quantity
+     * stands for both ends. Both bounds are inclusive.
+     */
+    public long[] range(Word word, Quantity kind, long min, long max, long[] fallback) {
+        int dots = word.text().indexOf("..");
         if (dots < 0) {
-            long value = quantity(w, kind, least, most, otherwise[0]);
+            long value = quantity(word, kind, min, max, fallback[0]);
             return new long[] {value, value};
         }
-        Word from = new Word(w.text().substring(0, dots), false, w.place());
-        Place second = new Place(w.place().file(), w.place().line(), w.place().column() + dots + 2);
-        Word to = new Word(w.text().substring(dots + 2), false, second);
-        long[] range = {quantity(from, kind, least, most, otherwise[0]), quantity(to, kind, least, most, otherwise[1])};
+        Word first = new Word(word.text().substring(0, dots), false, word.place());
+        Place secondPlace =
+                new Place(word.place().file(), word.place().line(), word.place().column() + dots + 2);
+        Word second = new Word(word.text().substring(dots + 2), false, secondPlace);
+        long[] range = {quantity(first, kind, min, max, fallback[0]), quantity(second, kind, min, max, fallback[1])};
         if (range[0] > range[1]) {
-            problems.add(w.place(), "\"" + w.text() + "\" goes down; write the smaller value first");
+            problems.add(word.place(), "\"" + word.text() + "\" goes down; write the smaller value first");
         }
         return range;
     }
 
-    /** A quantity, or two with {@code ..} between them. */
-    public long[] range(String name, Quantity kind, long least, long most, long... otherwise) {
-        Word w = single(one(name));
-        return w == null ? otherwise : range(w, kind, least, most, otherwise);
+    /** Returns the directive's quantity, or its two with {@code ..} between them, as a range; or the fallback. */
+    public long[] range(String name, Quantity kind, long min, long max, long... fallback) {
+        Word word = singleWord(one(name));
+        return word == null ? fallback : range(word, kind, min, max, fallback);
     }
 
-    /** A span in nanoseconds. */
-    public long span(String name, long least, long most, long otherwise) {
-        return quantity(name, Quantity.SPAN, least, most, otherwise);
+    /** Returns a time span in nanoseconds. */
+    public long span(String name, long min, long max, long fallback) {
+        return quantity(name, Quantity.SPAN, min, max, fallback);
     }
 
-    /** A whole number. */
-    public int count(String name, int least, int most, int otherwise) {
-        return (int) quantity(name, Quantity.COUNT, least, most, otherwise);
+    /** Returns a whole number. */
+    public int count(String name, int min, int max, int fallback) {
+        return (int) quantity(name, Quantity.COUNT, min, max, fallback);
     }
 
-    /** A plain number. */
-    public double number(String name, double least, double most, double otherwise) {
-        return quantity(name, Quantity.NUMBER, (long) (least * 1e3), (long) (most * 1e3), Math.round(otherwise * 1e3))
+    /** Returns a decimal number without a unit. */
+    public double number(String name, double min, double max, double fallback) {
+        return quantity(name, Quantity.NUMBER, (long) (min * 1e3), (long) (max * 1e3), Math.round(fallback * 1e3))
                 / 1e3;
     }
 
-    /** A share, written in percent, as a part of one. */
-    public double share(String name, double least, double most, double otherwise) {
-        return quantity(name, Quantity.SHARE, (long) (least * 1e6), (long) (most * 1e6), Math.round(otherwise * 1e6))
-                / 1e6;
+    /** Returns a share, which is written in percent, as a fraction of 1. */
+    public double share(String name, double min, double max, double fallback) {
+        return quantity(name, Quantity.SHARE, (long) (min * 1e6), (long) (max * 1e6), Math.round(fallback * 1e6)) / 1e6;
     }
 
-    /** A rate, in events a second. */
-    public double rate(String name, double otherwise) {
-        return quantity(name, Quantity.RATE, 0, Long.MAX_VALUE / 2, Math.round(otherwise * 86_400)) / 86_400.0;
+    /** Returns a rate in events a second. */
+    public double rate(String name, double fallback) {
+        return quantity(name, Quantity.RATE, 0, Long.MAX_VALUE / 2, Math.round(fallback * 86_400)) / 86_400.0;
     }
 
-    /** The words of a directive if there are as many as wanted; else an error that shows the form, and null. */
-    public List<Word> words(Directive d, int least, int most, String form) {
-        if (d.words().size() >= least && d.words().size() <= most) {
-            return d.words();
+    /**
+     * Returns the words of a directive if their number is within the bounds. Otherwise adds an error that shows the
+     * expected form and returns null.
+     */
+    public List<Word> words(Directive directive, int min, int max, String form) {
+        if (directive.words().size() >= min && directive.words().size() <= max) {
+            return directive.words();
         }
-        problems.add(d.place(), "\"" + d.name().text() + "\" has " + d.words().size() + " values; write: " + form);
+        problems.add(
+                directive.place(),
+                "\"" + directive.name().text() + "\" has " + directive.words().size() + " values; write: " + form);
         return null;
     }
 
-    /** Notes something that this package can't know to be wrong. */
-    public void wrong(Place place, String what) {
-        problems.add(place, what);
+    /** Adds an error that the caller has found, such as a value that is invalid for its directive. */
+    public void wrong(Place place, String message) {
+        problems.add(place, message);
     }
 
-    private Word single(Directive d) {
-        if (d == null) {
+    /** Returns the only word of a directive; null if there is no directive, or an error if it has another form. */
+    private Word singleWord(Directive directive) {
+        if (directive == null) {
             return null;
         }
-        if (d.words().size() != 1 || d.block() != null) {
+        if (directive.words().size() != 1 || directive.block() != null) {
             problems.add(
-                    d.place(),
-                    "\"" + d.name().text() + "\" takes one value, and has "
-                            + (d.block() != null ? "a block" : d.words().size()));
+                    directive.place(),
+                    "\"" + directive.name().text() + "\" takes one value, and has "
+                            + (directive.block() != null
+                                    ? "a block"
+                                    : directive.words().size()));
             return null;
         }
-        return d.words().get(0);
+        return directive.words().get(0);
     }
 
-    /** Tells of the directives that nobody asked for. */
+    /** Adds an error for each directive whose name was never requested. */
     public void done() {
-        for (Directive d : block.directives()) {
-            String name = d.name().text();
-            if (!asked.contains(name)) {
-                List<String> known = asked.stream().sorted().toList();
+        for (Directive directive : block.directives()) {
+            String name = directive.name().text();
+            if (!requestedNames.contains(name)) {
+                List<String> known = requestedNames.stream().sorted().toList();
                 problems.add(
-                        d.place(),
+                        directive.place(),
                         "\"" + name + "\" is not known here"
                                 + (known.isEmpty()
                                         ? ""
-                                        : meant(name, known).isEmpty()
+                                        : suggestion(name, known).isEmpty()
                                                 ? "; known are: " + String.join(", ", known)
-                                                : meant(name, known)));
+                                                : suggestion(name, known)));
             }
         }
     }
 
-    private static String meant(String name, List<String> known) {
+    /** Returns a hint at the known name with the smallest edit distance, or an empty text if none is close. */
+    private static String suggestion(String name, List<String> known) {
         return known.stream()
                 .filter(k -> distance(k, name) <= Math.max(1, (name.length() + 1) / 3))
                 .min(java.util.Comparator.comparingInt(k -> distance(k, name)))
@@ -217,22 +235,23 @@
                 .orElse("");
     }
 
-    /** Levenshtein's distance. */
-    private static int distance(String a, String b) {
-        int[] row = new int[b.length() + 1];
-        for (int j = 0; j <= b.length(); j++) {
+    /** Returns the Levenshtein distance of two texts. */
+    private static int distance(String left, String right) {
+        int[] row = new int[right.length() + 1];
+        for (int j = 0; j <= right.length(); j++) {
             row[j] = j;
         }
-        for (int i = 1; i <= a.length(); i++) {
-            int before = row[0];
+        for (int i = 1; i <= left.length(); i++) {
+            int diagonal = row[0];
             row[0] = i;
-            for (int j = 1; j <= b.length(); j++) {
-                int here = Math.min(
-                        Math.min(row[j], row[j - 1]) + 1, before + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1));
-                before = row[j];
-                row[j] = here;
+            for (int j = 1; j <= right.length(); j++) {
+                int cost = Math.min(
+                        Math.min(row[j], row[j - 1]) + 1,
+                        diagonal + (left.charAt(i - 1) == right.charAt(j - 1) ? 0 : 1));
+                diagonal = row[j];
+                row[j] = cost;
             }
         }
-        return row[b.length()];
+        return row[right.length()];
     }
 }
--- a/router/src/main/java/stoatrill/settings/SettingsException.java
+++ b/router/src/main/java/stoatrill/settings/SettingsException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A file that can't be used, with all that is wrong with it, each as {@code file:line:column: what to do}. */
+/** Thrown for an invalid file, with all its errors, each in the form {@code file:line:column: message}. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<String> problems;
@@ -12,12 +12,12 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** A file that can't be used for a reason of its own, told in one line that names it. */
+    /** Creates an exception for an error that has no position, such as a missing file. The line names the file. */
     public static SettingsException of(String problem) {
         return new SettingsException(List.of(problem));
     }
 
-    /** One line each, in the order of their places; never empty. */
+    /** Returns the errors, one line each, ordered by position; never empty. */
     public List<String> problems() {
         return problems;
     }
--- a/router/src/main/java/stoatrill/settings/SettingsFile.java
+++ b/router/src/main/java/stoatrill/settings/SettingsFile.java
@@ -5,129 +5,150 @@
 import java.util.List;
 
 /**
- * Cuts a text into directives. Words are parted by blanks; a string stands in double quotes, where {@code \"},
- * {@code \\}, {@code \n} and {@code \t} are known; {@code #} begins a comment; a line that ends with a brace
- * opens a block, and a brace alone on its line closes it.
+ * Parses a text into directives. Words are separated by spaces or tabs, and a byte order mark counts as one. Strings
+ * are in double quotes, with the escapes {@code \"}, {@code \\}, {@code \n} and {@code \t}. {@code #} begins a comment.
+ * A line that ends with an opening brace opens a block, and a closing brace alone on its line closes it.
  */
 public final class SettingsFile {
-    private static final int DEEPEST = 32;
+    private static final int BLOCK_DEPTH_LIMIT = 32;
     private final String file;
     private final Problems problems = new Problems();
 
-    private record Open(Word name, List<Word> words, List<Directive> inside, Place at) {}
+    /** A block that is not closed yet. */
+    private record OpenBlock(Word name, List<Word> words, List<Directive> directives, Place place) {}
 
     private SettingsFile(String file) {
         this.file = file;
     }
 
-    /** Reads a whole text; {@code file} is named in errors only. Throws with every error of its form. */
+    /**
+     * Parses a whole text.
+     *
+     * @param file the file's name, used in error messages only
+     * @throws SettingsException with all syntax errors
+     */
     public static Block parse(String file, String text) throws SettingsException {
         return new SettingsFile(file).read(text);
     }
 
     private Block read(String text) throws SettingsException {
-        ArrayDeque<Open> open = new ArrayDeque<>();
-        open.push(new Open(null, List.of(), new ArrayList<>(), new Place(file, 1, 1)));
-        int line = 0;
-        for (String each : text.split("\r?\n", -1)) {
-            line++;
-            List<Word> words = words(each, line);
+        ArrayDeque<OpenBlock> openBlocks = new ArrayDeque<>();
+        openBlocks.push(new OpenBlock(null, List.of(), new ArrayList<>(), new Place(file, 1, 1)));
+        int lineNumber = 0;
+        for (String line : text.split("\r?\n", -1)) {
+            lineNumber++;
+            List<Word> words = splitWords(line, lineNumber);
             if (words.isEmpty()) {
                 continue;
             }
             Word first = words.get(0);
             Word last = words.get(words.size() - 1);
-            boolean closes = brace(first, "}");
-            if (closes && words.size() > 1) {
+            boolean closesBlock = isBrace(first, "}");
+            if (closesBlock && words.size() > 1) {
                 problems.add(words.get(1).place(), "nothing may follow '}'; put it on the next line");
             }
-            if (closes) {
-                if (open.size() == 1) {
+            if (closesBlock) {
+                if (openBlocks.size() == 1) {
                     problems.add(first.place(), "this '}' closes nothing; remove it or look for a missing '{'");
                 } else {
-                    Open done = open.pop();
-                    open.peek()
-                            .inside()
+                    OpenBlock closed = openBlocks.pop();
+                    openBlocks
+                            .peek()
+                            .directives()
                             .add(new Directive(
-                                    done.name(), done.words(), new Block(List.copyOf(done.inside()), done.at())));
+                                    closed.name(),
+                                    closed.words(),
+                                    new Block(List.copyOf(closed.directives()), closed.place())));
                 }
                 continue;
             }
-            boolean opens = brace(last, "{");
-            List<Word> rest = List.copyOf(words.subList(1, words.size() - (opens && words.size() > 1 ? 1 : 0)));
-            rest.stream()
-                    .filter(w -> brace(w, "{") || brace(w, "}"))
+            boolean opensBlock = isBrace(last, "{");
+            List<Word> arguments =
+                    List.copyOf(words.subList(1, words.size() - (opensBlock && words.size() > 1 ? 1 : 0)));
+            arguments.stream()
+                    .filter(w -> isBrace(w, "{") || isBrace(w, "}"))
                     .forEach(w -> problems.add(
                             w.place(),
                             "a brace stands at the end of its line; write it in quotes if it is part of a value"));
-            if (brace(first, "{")) {
+            if (isBrace(first, "{")) {
                 problems.add(first.place(), "a block needs a name before its '{'");
             }
-            if (!opens) {
-                open.peek().inside().add(new Directive(first, rest, null));
-            } else if (open.size() > DEEPEST) {
-                problems.add(first.place(), "blocks are more than " + DEEPEST + " deep; a '}' is probably missing");
+            if (!opensBlock) {
+                openBlocks.peek().directives().add(new Directive(first, arguments, null));
+            } else if (openBlocks.size() > BLOCK_DEPTH_LIMIT) {
+                problems.add(
+                        first.place(),
+                        "blocks are more than " + BLOCK_DEPTH_LIMIT + " deep; a '}' is probably missing");
                 problems.check();
             } else {
-                open.push(new Open(first, rest, new ArrayList<>(), last.place()));
+                openBlocks.push(new OpenBlock(first, arguments, new ArrayList<>(), last.place()));
             }
         }
-        while (open.size() > 1) {
-            Open left = open.pop();
-            problems.add(left.at(), "the block \"" + left.name().text() + "\" is not closed; add a line with '}'");
+        while (openBlocks.size() > 1) {
+            OpenBlock unclosed = openBlocks.pop();
+            problems.add(
+                    unclosed.place(),
+                    "the block \"" + unclosed.name().text() + "\" is not closed; add a line with '}'");
         }
         problems.check();
-        return new Block(List.copyOf(open.peek().inside()), open.peek().at());
+        return new Block(
+                List.copyOf(openBlocks.peek().directives()), openBlocks.peek().place());
     }
 
-    private static boolean brace(Word word, String which) {
-        return !word.quoted() && word.text().equals(which);
+    private static boolean isBrace(Word word, String brace) {
+        return !word.quoted() && word.text().equals(brace);
     }
 
-    private List<Word> words(String text, int line) {
+    private List<Word> splitWords(String line, int lineNumber) {
         List<Word> words = new ArrayList<>();
-        int at = 0;
-        while (at < text.length()) {
-            char c = text.charAt(at);
-            if (c == ' ' || c == '\t' || c == '\uFEFF') {
-                at++;
-            } else if (c == '#') {
+        int index = 0;
+        while (index < line.length()) {
+            char character = line.charAt(index);
+            if (character == ' ' || character == '\t' || character == '\uFEFF') {
+                index++;
+            } else if (character == '#') {
                 break;
-            } else if (c == '"') {
-                at = quoted(text, line, at, words);
+            } else if (character == '"') {
+                index = readString(line, lineNumber, index, words);
             } else {
-                int from = at;
-                while (at < text.length() && " \t\"#".indexOf(text.charAt(at)) < 0) {
-                    if (text.charAt(at) < ' ') {
-                        problems.add(new Place(file, line, at + 1), "a control character; remove it");
+                int start = index;
+                while (index < line.length() && " \t\"#".indexOf(line.charAt(index)) < 0) {
+                    if (line.charAt(index) < ' ') {
+                        problems.add(new Place(file, lineNumber, index + 1), "a control character; remove it");
                     }
-                    at++;
+                    index++;
                 }
-                words.add(new Word(text.substring(from, at), false, new Place(file, line, from + 1)));
+                words.add(new Word(line.substring(start, index), false, new Place(file, lineNumber, start + 1)));
             }
         }
         return words;
     }
 
-    private int quoted(String text, int line, int from, List<Word> words) {
+    /**
+     * Reads a quoted string and adds it to the words.
+     *
+     * @param start the index of the opening quote
+     * @return the index after the closing quote
+     */
+    private int readString(String line, int lineNumber, int start, List<Word> words) {
         StringBuilder value = new StringBuilder();
-        Place place = new Place(file, line, from + 1);
-        int at = from + 1;
-        while (at < text.length() && text.charAt(at) != '"') {
-            char c = text.charAt(at++);
-            if (c != '\\') {
-                value.append(c);
-            } else if (at < text.length() && "\"\\nt".indexOf(text.charAt(at)) >= 0) {
-                char known = text.charAt(at++);
-                value.append(known == 'n' ? '\n' : known == 't' ? '\t' : known);
+        Place place = new Place(file, lineNumber, start + 1);
+        int index = start + 1;
+        while (index < line.length() && line.charAt(index) != '"') {
+            char character = line.charAt(index++);
+            if (character != '\\') {
+                value.append(character);
+            } else if (index < line.length() && "\"\\nt".indexOf(line.charAt(index)) >= 0) {
+                char escape = line.charAt(index++);
+                value.append(escape == 'n' ? '\n' : escape == 't' ? '\t' : escape);
             } else {
-                problems.add(new Place(file, line, at), "after '\\' comes one of \" \\ n t");
+                problems.add(new Place(file, lineNumber, index), "after '\\' comes one of \" \\ n t");
             }
         }
-        if (at >= text.length()) {
+        if (index >= line.length()) {
             problems.add(place, "the string is not closed; add '\"' before the end of the line");
         }
         words.add(new Word(value.toString(), true, place));
-        return at + 1;
+        return index + 1;
     }
 }
--- a/router/src/main/java/stoatrill/settings/Word.java
+++ b/router/src/main/java/stoatrill/settings/Word.java
@@ -1,4 +1,10 @@
 package stoatrill.settings;
 
-/** A word, or a quoted string without its quotes. */
+/**
+ * A token of a settings file: a bare word, or a quoted string.
+ *
+ * @param text the text, without quotes and with escapes replaced
+ * @param quoted whether it is a quoted string
+ * @param place where it begins
+ */
 public record Word(String text, boolean quoted, Place place) {}
--- a/router/src/main/java/stoatrill/settings/package-info.java
+++ b/router/src/main/java/stoatrill/settings/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The form of the operators' own files: one directive a line, words and quoted strings, blocks, comments, and a
- * unit on every quantity. It knows nothing of what the directives mean, opens no file and keeps no state.
+ * Parses the settings files that operators write: one directive a line, made of words and quoted strings, with nested
+ * blocks, comments, and a unit on every quantity that has one. The package does not know what the directives mean,
+ * opens no files and keeps no global state.
  */
 package stoatrill.settings;
--- a/router/src/test/java/stoatrill/FewDescriptorsTest.java
+++ b/router/src/test/java/stoatrill/FewDescriptorsTest.java
@@ -20,27 +20,27 @@
 import stoatrill.scenario.Scenario;
 import stoatrill.scenario.ServeStage;
 
-/** A machine that allows the router fewer descriptors than its configuration says, over real connections. */
+/** The process may open fewer descriptors than the router's configuration says. Tested over real connections. */
 class FewDescriptorsTest extends ServeStage {
-    private static final int ALLOWED = 64;
-    private static final int CLIENTS = 3;
-    /** Commands of a client that are read in one turn. */
-    private static final int WRITES = 32;
+    private static final int ALLOWED_DESCRIPTOR_COUNT = 64;
+    private static final int CLIENT_COUNT = 3;
+    /** How many commands of a client the router reads in one turn. */
+    private static final int WRITES_PER_CLIENT_COUNT = 32;
 
-    /** Descriptors left over once all clients are connected. */
-    private static final int FREE = 6;
+    /** Descriptors left free once all clients are connected. */
+    private static final int FREE_DESCRIPTOR_COUNT = 6;
 
-    private static final long PATIENCE = 20_000_000_000L;
+    private static final long TIMEOUT_NANOS = 20_000_000_000L;
 
-    private static String moreThanAllowed(String config) {
+    private static String withLimitsAboveAllowed(String config) {
         return config.replace("\"sockets\": 128", "\"sockets\": 1024").replace("\"mostHeld\": 5", "\"mostHeld\": 500");
     }
 
-    /** Idle clients take every descriptor: some give way, so that a new client and discovery are reached. */
+    /** Idle clients hold every descriptor. Some must be closed, so that a new client and discovery are reached. */
     @Test
-    void idleClientsThatHoldEveryDescriptorGiveWay() throws Exception {
-        descriptors = ALLOWED;
-        play(FewDescriptorsTest::moreThanAllowed, CONNECTED + """
+    void closesIdleClientsWhenTheyHoldEveryDescriptor() throws Exception {
+        allowedDescriptors = ALLOWED_DESCRIPTOR_COUNT;
+        play(FewDescriptorsTest::withLimitsAboveAllowed, CONNECTED + """
         c send write 1
         p expect write 1
         list expect GET /v1/servers?from=5&hold_ms=WAIT
@@ -54,26 +54,26 @@
     }
 
     /**
-     * More writes come in one turn than there are descriptors for connections to their primary. The router is stopped
-     * meanwhile, so that they are all there at once.
+     * More writes arrive in one turn than there are descriptors for connections to the primary. The router is paused
+     * while they are sent, so that it finds them all at once.
      */
     @Test
-    void writesThatFindNoDescriptorHaveOneAnswerEachAndRunOnce() throws Exception {
-        descriptors = ALLOWED;
-        play(FewDescriptorsTest::moreThanAllowed, """
+    void answersEachWriteOnceAndRunsNoneTwiceWithoutFreeDescriptors() throws Exception {
+        allowedDescriptors = ALLOWED_DESCRIPTOR_COUNT;
+        play(FewDescriptorsTest::withLimitsAboveAllowed, """
         list expect GET /v1/servers?from=5&hold_ms=WAIT
         p send always x
         """);
-        int idle = ALLOWED - openDescriptors() - CLIENTS - FREE;
-        send("many", "crowd " + idle + " talking");
-        awaitOpenDescriptors(ALLOWED - CLIENTS - FREE);
+        int idleClientCount = ALLOWED_DESCRIPTOR_COUNT - openDescriptors() - CLIENT_COUNT - FREE_DESCRIPTOR_COUNT;
+        send("many", "crowd " + idleClientCount + " talking");
+        awaitOpenDescriptors(ALLOWED_DESCRIPTOR_COUNT - CLIENT_COUNT - FREE_DESCRIPTOR_COUNT);
         send("router", "STOP");
         List<Socket> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             Socket client = connect();
             write(client, startup());
-            for (int n = 0; n < WRITES; n++) {
-                write(client, query(WRITE.formatted(i * WRITES + n)));
+            for (int n = 0; n < WRITES_PER_CLIENT_COUNT; n++) {
+                write(client, query(WRITE.formatted(i * WRITES_PER_CLIENT_COUNT + n)));
             }
             clients.add(client);
         }
@@ -81,21 +81,23 @@
         int served = 0;
         for (Socket client : clients) {
             DataInputStream in = new DataInputStream(client.getInputStream());
-            assertEquals("ready", answer("client", in));
-            for (int n = 0; n < WRITES; n++) {
-                String answer = answer("client", in);
+            assertEquals("ready", readAnswer("client", in));
+            for (int n = 0; n < WRITES_PER_CLIENT_COUNT; n++) {
+                String answer = readAnswer("client", in);
                 assertTrue(Set.of("row x", "error 53300", "error 58000").contains(answer), answer);
                 served += answer.equals("row x") ? 1 : 0;
             }
         }
-        List<String> ran = heardBy("p");
-        assertEquals(new HashSet<>(ran).size(), ran.size(), "a write ran twice: " + ran);
-        assertTrue(ran.size() >= served, served + " served, " + ran.size() + " ran");
-        assertTrue(served > FREE, served + " served");
-        List<String> said = heardBy("router");
-        assertTrue(said.stream().anyMatch(line -> line.startsWith("no descriptor is free")), said.toString());
-        assertTrue(said.stream().noneMatch(line -> line.startsWith("server rests")), "blamed on the server: " + said);
-        // The router has recovered: discovery is reached anew, and a new client is served.
+        List<String> executed = unexpectedMessagesOf("p");
+        assertEquals(new HashSet<>(executed).size(), executed.size(), "a write ran twice: " + executed);
+        assertTrue(executed.size() >= served, served + " served, " + executed.size() + " ran");
+        assertTrue(served > FREE_DESCRIPTOR_COUNT, served + " served");
+        List<String> logged = unexpectedMessagesOf("router");
+        assertTrue(logged.stream().anyMatch(line -> line.startsWith("no descriptor is free")), logged.toString());
+        assertTrue(
+                logged.stream().noneMatch(line -> line.startsWith("server rests")),
+                "the failure is attributed to the server: " + logged);
+        // The router has recovered: it connects to discovery again and serves a new client.
         Scenario.play(this, """
         list close
         list expect GET /v1/servers?from=5&hold_ms=*
@@ -115,9 +117,9 @@
     }
 
     private void awaitOpenDescriptors(int wanted) throws IOException {
-        long until = System.nanoTime() + PATIENCE;
+        long deadline = System.nanoTime() + TIMEOUT_NANOS;
         while (openDescriptors() < wanted) {
-            assertTrue(System.nanoTime() < until, openDescriptors() + " descriptors are open, under " + wanted);
+            assertTrue(System.nanoTime() < deadline, openDescriptors() + " descriptors are open, fewer than " + wanted);
             LockSupport.parkNanos(1_000_000);
         }
     }
--- a/router/src/test/java/stoatrill/HalfWrittenTest.java
+++ b/router/src/test/java/stoatrill/HalfWrittenTest.java
@@ -27,19 +27,19 @@
 import stoatrill.scenario.Scenario;
 
 /**
- * A request of which a server has read a part when its connection breaks, over real connections. Loopback takes every
- * message of the protocol whole, so the loop runs here with a protocol that pads each query to a size that it can't
- * take.
+ * A connection breaks after the server has read part of a request, over real connections. Loopback buffers every
+ * message of the protocol whole, so the event loop runs here with a protocol that pads each query beyond the size of
+ * the buffers.
  */
 class HalfWrittenTest {
-    private static final int PADDING = 32 << 20;
-    private static final int PART = 1_000;
-    private static final int PATIENCE_S = 20;
-    private static final String UPLOAD =
+    private static final int PADDING_BYTES = 32 << 20;
+    private static final int READ_BYTES = 1_000;
+    private static final int TIMEOUT_SECONDS = 20;
+    private static final String WRITE =
             "INSERT INTO records (k, v) VALUES ('a1', '\\x01') RETURNING v /* id=1,c=upload,d=25000,cluster=0 */";
 
-    /** The server's protocol, with padding before each query. */
-    private record Padded(ServerProtocol inner) implements ServerProtocol {
+    /** The server protocol, with padding before each query. */
+    private record PaddedProtocol(ServerProtocol inner) implements ServerProtocol {
         @Override
         public byte[] greeting() {
             return inner.greeting();
@@ -48,8 +48,8 @@
         @Override
         public byte[] query(Statement statement, long waitMillis) {
             byte[] query = inner.query(statement, waitMillis);
-            return ByteBuffer.allocate(PADDING + query.length)
-                    .put(new byte[PADDING])
+            return ByteBuffer.allocate(PADDING_BYTES + query.length)
+                    .put(new byte[PADDING_BYTES])
                     .put(query)
                     .array();
         }
@@ -70,18 +70,18 @@
         }
     }
 
-    /** The server breaks the connection with most of the upload unwritten: it can't have run, and goes out again. */
+    /** The server resets the connection while most of the write is unsent. It can't have run, so it is sent again. */
     @Test
-    void anUploadBrokenOffBeforeItsLastByteRunsOnceOnAnotherConnection() throws Exception {
+    void writeCutOffBeforeItsLastByteRunsOnceOnAnotherConnection() throws Exception {
         try (ServerSocket primary = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             String endpoint = "\"p\", \"endpoint\": \"127.0.0.1:";
-            String text = Scenario.config().replace(endpoint + "9", endpoint + primary.getLocalPort());
-            EventLoop loop =
-                    new EventLoop(Config.parse(text, Map.of()), PgClient::new, peer -> new Padded(new PgServer(peer)));
+            String config = Scenario.config().replace(endpoint + "9", endpoint + primary.getLocalPort());
+            EventLoop loop = new EventLoop(
+                    Config.parse(config, Map.of()), PgClient::new, peer -> new PaddedProtocol(new PgServer(peer)));
             CompletableFuture<Void> router = run(loop);
-            CompletableFuture<String> ran = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<String> executed = CompletableFuture.supplyAsync(() -> {
                 try {
-                    breakOff(primary);
+                    resetAfterPartialRead(primary);
                     return serveOne(primary);
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
@@ -89,16 +89,16 @@
             });
             try (Socket client =
                     new Socket(loop.address().getAddress(), loop.address().getPort())) {
-                client.setSoTimeout(PATIENCE_S * 1000);
+                client.setSoTimeout(TIMEOUT_SECONDS * 1000);
                 client.getOutputStream().write(startup());
-                client.getOutputStream().write(query(UPLOAD));
-                assertEquals("TDCZ", answer(new DataInputStream(client.getInputStream())));
+                client.getOutputStream().write(query(WRITE));
+                assertEquals("TDCZ", readAnswerTypes(new DataInputStream(client.getInputStream())));
             }
             assertEquals(
-                    UPLOAD.substring(0, 20),
-                    ran.get(PATIENCE_S, TimeUnit.SECONDS).substring(0, 20));
+                    WRITE.substring(0, 20),
+                    executed.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).substring(0, 20));
             loop.stop();
-            router.get(PATIENCE_S, TimeUnit.SECONDS);
+            router.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
@@ -106,19 +106,19 @@
         return CompletableFuture.runAsync(loop::run);
     }
 
-    /** Greets, reads a part of the first query and resets the connection. */
-    private static void breakOff(ServerSocket listener) throws IOException {
+    /** Sends the greeting, reads part of the first query and resets the connection. */
+    private static void resetAfterPartialRead(ServerSocket listener) throws IOException {
         try (Socket socket = listener.accept()) {
-            greet(socket).readNBytes(PART);
+            greet(socket).readNBytes(READ_BYTES);
             socket.setSoLinger(true, 0);
         }
     }
 
-    /** Serves the next query and returns its text. */
+    /** Answers the next query and returns its text. */
     private static String serveOne(ServerSocket listener) throws IOException {
         try (Socket socket = listener.accept()) {
             DataInputStream in = greet(socket);
-            in.skipNBytes(PADDING + 1);
+            in.skipNBytes(PADDING_BYTES + 1);
             byte[] text = in.readNBytes(in.readInt() - 4);
             socket.getOutputStream().write(row("y"));
             socket.getOutputStream().write(READY);
@@ -133,14 +133,14 @@
         return in;
     }
 
-    /** The types of the messages that come after the first ReadyForQuery, up to the next. */
-    private static String answer(DataInputStream in) throws IOException {
+    /** Returns the types of the messages after the first ReadyForQuery, up to and including the next one. */
+    private static String readAnswerTypes(DataInputStream in) throws IOException {
         StringBuilder types = new StringBuilder();
-        for (int readies = 0; readies < 2; ) {
+        for (int readyCount = 0; readyCount < 2; ) {
             char type = (char) in.readByte();
             in.readNBytes(in.readInt() - 4);
-            types.append(readies > 0 ? String.valueOf(type) : "");
-            readies += type == 'Z' ? 1 : 0;
+            types.append(readyCount > 0 ? String.valueOf(type) : "");
+            readyCount += type == 'Z' ? 1 : 0;
         }
         return types.toString();
     }
--- a/router/src/test/java/stoatrill/RareMomentsTest.java
+++ b/router/src/test/java/stoatrill/RareMomentsTest.java
@@ -12,19 +12,17 @@
 import stoatrill.scenario.Scenario;
 import stoatrill.scenario.ServeStage;
 
-/** Moments that come seldom, over real connections to a router process. */
+/** Rare conditions, tested over real connections to a router process. */
 class RareMomentsTest extends ServeStage {
-    /** More connections than wait to be accepted at a listener with a backlog of 1. */
-    private static final int MORE_THAN_QUEUED = 4;
-
-    // ---- Primaries that step down ----
+    /** Enough connections to fill the queue of a listener with a backlog of 1. */
+    private static final int BACKLOG_FILLING_COUNT = 4;
 
     /**
-     * Writes are out at a primary as it steps down, and more come while nobody knows the next one: those that never
-     * ran go to it, once each.
+     * Writes are in flight at a primary while it is demoted, and more arrive before the new primary is known. The
+     * writes that did not run must be sent to the new primary, once each.
      */
     @Test
-    void writesThatAPrimarySteppingDownRejectsRunOnceAtTheNext() throws Exception {
+    void writesRejectedByDemotedPrimaryRunOnceOnNewPrimary() throws Exception {
         play(CONNECTED + """
         d send startup
         d expect ready
@@ -65,13 +63,11 @@
         """);
     }
 
-    // ---- Starts without discovery ----
-
-    /** Discovery takes no connections: each of several starts is ready by the list that was known, and serves. */
+    /** Discovery refuses connections: each of several starts must become ready and serve with the last known list. */
     @RepeatedTest(3)
-    void aStartBeforeADiscoveryThatIsDownServesByTheListThatWasKnown() throws Exception {
-        String nobody = "\"discovery\": \"127.0.0.1:1\"";
-        play(text -> text.replace("\"discovery\": \"127.0.0.1:9\"", nobody), CONNECTED + """
+    void startsWithLastKnownListWhenDiscoveryIsDown() throws Exception {
+        String unreachable = "\"discovery\": \"127.0.0.1:1\"";
+        play(text -> text.replace("\"discovery\": \"127.0.0.1:9\"", unreachable), CONNECTED + """
         c send query ;
         c expect empty
         c send read 1
@@ -85,12 +81,13 @@
         """);
     }
 
-    // ---- Half written, and late ----
-
-    /** However a query is cut in two, its request begins once, with its last byte, and never if that does not come. */
+    /**
+     * A query arrives in two parts. Wherever it is split, its request must start exactly once, when the last byte has
+     * arrived, and never if the last byte does not arrive.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 5, 40, 103})
-    void aRequestHalfWrittenBeginsOnceWithItsLastByte(int cut) throws Exception {
+    void startsSplitRequestOnceWithItsLastByte(int cut) throws Exception {
         play(CONNECTED + """
         gone send startup
         gone expect ready
@@ -115,9 +112,11 @@
         """.formatted(cut).replace("reset reset", "reset send reset"));
     }
 
-    /** A connection to the primary comes up late but in time; the upload waits for it and runs once. */
+    /**
+     * A connection to the primary is established late, but within the timeout. The write waits for it and runs once.
+     */
     @Test
-    void anUploadWaitsForAConnectionThatComesUpLate() throws Exception {
+    void writeWaitsForSlowConnection() throws Exception {
         play(text -> text.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2500000000"), CONNECTED + """
         p send hold
         c send write 1
@@ -138,22 +137,22 @@
     }
 
     /**
-     * The queue of connections that the primary has not accepted is full, so that the machine drops the router's first
-     * packet; the connection comes up when the packet is sent again, a second later.
+     * The accept queue of the primary's listener is full, so the kernel drops the router's first SYN packet. The
+     * connection is established when the packet is retransmitted, one second later.
      */
     @Test
-    void anUploadWaitsForAConnectionWhoseFirstPacketWasLost() throws Exception {
-        try (ServerSocket late = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<SocketChannel> queue = new ArrayList<>();
-            for (int i = 0; i < MORE_THAN_QUEUED; i++) {
-                SocketChannel one = SocketChannel.open();
-                one.configureBlocking(false);
-                one.connect(late.getLocalSocketAddress());
-                queue.add(one);
+    void writeWaitsForConnectionWhoseFirstPacketWasLost() throws Exception {
+        try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            List<SocketChannel> queued = new ArrayList<>();
+            for (int i = 0; i < BACKLOG_FILLING_COUNT; i++) {
+                SocketChannel channel = SocketChannel.open();
+                channel.configureBlocking(false);
+                channel.connect(listener.getLocalSocketAddress());
+                queued.add(channel);
             }
             String primary = "\"p\", \"endpoint\": \"127.0.0.1:";
             play(
-                    text -> text.replace(primary + "9", primary + late.getLocalPort())
+                    text -> text.replace(primary + "9", primary + listener.getLocalPort())
                             .replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2500000000"),
                     CONNECTED + """
             c send write 1
@@ -165,22 +164,22 @@
             d expect row x
             p expect nothing
             """);
-            accept(late, "p");
+            accept(listener, "p");
             Scenario.play(this, """
             p expect write 1
             p send row y
             c expect row y
             p expect nothing
             """);
-            for (SocketChannel one : queue) {
-                one.close();
+            for (SocketChannel channel : queued) {
+                channel.close();
             }
         }
     }
 
-    /** The first connection is given up before it comes up; the upload goes out on a later one, once. */
+    /** The first connection times out before it is established. The write is sent on a later one, once. */
     @Test
-    void anUploadWhoseConnectionWasGivenUpRunsOnceOnTheNext() throws Exception {
+    void writeRunsOnceOnNextConnectionAfterConnectTimeout() throws Exception {
         play(CONNECTED + """
         p send hold
         c send write 1
--- a/router/src/test/java/stoatrill/RealClientsTest.java
+++ b/router/src/test/java/stoatrill/RealClientsTest.java
@@ -31,97 +31,100 @@
 import org.junit.jupiter.api.io.TempDir;
 import stoatrill.standins.net.Deployment;
 
-/** The stand-in nodes and the real program before them, spoken to by clients that others wrote. */
+/** Simulated nodes behind a router process, used by third-party clients: the PostgreSQL JDBC driver and psql. */
 @Timeout(60)
 class RealClientsTest {
     private static final Pattern LISTENS = Pattern.compile("listens on /(127\\.0\\.0\\.1):(\\d+)");
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private Deployment deployment;
     private Process router;
     private int port;
-    private int ids;
-    private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
+    private int nextId;
+    private final BlockingQueue<String> logLines = new LinkedBlockingQueue<>();
 
     @BeforeEach
-    void start() throws Exception {
+    void startDeploymentAndRouter() throws Exception {
         deployment = new Deployment(4, 50_000_000L);
-        serve(null);
+        startRouter(null);
     }
 
-    private void serve(String contracts) throws Exception {
-        Path config = Files.writeString(folder.resolve("config.json"), deployment.config("t", "mona", "127.0.0.1:0"));
-        ProcessBuilder start = new ProcessBuilder(
+    private void startRouter(String contracts) throws Exception {
+        Path config =
+                Files.writeString(directory.resolve("config.json"), deployment.config("t", "mona", "127.0.0.1:0"));
+        ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
                 "stoatrill.Main",
                 "serve");
-        start.environment().put("PROXY_CONFIG", config.toString());
+        builder.environment().put("PROXY_CONFIG", config.toString());
         if (contracts != null) {
-            start.environment()
+            builder.environment()
                     .put(
                             "PROXY_CONTRACTS",
-                            Files.writeString(folder.resolve("c.conf"), contracts)
+                            Files.writeString(directory.resolve("c.conf"), contracts)
                                     .toString());
         }
-        router = start.redirectErrorStream(true).start();
+        router = builder.redirectErrorStream(true).start();
         BufferedReader log = router.inputReader(StandardCharsets.UTF_8);
         String line;
         port = 0;
         while (port == 0 && (line = log.readLine()) != null) {
-            Matcher m = LISTENS.matcher(line);
-            port = m.find() ? Integer.parseInt(m.group(2)) : 0;
+            Matcher matcher = LISTENS.matcher(line);
+            port = matcher.find() ? Integer.parseInt(matcher.group(2)) : 0;
         }
-        assertTrue(port > 0, "the router listens");
-        Thread drain = new Thread(() -> log.lines().forEach(said::add));
-        drain.setDaemon(true);
-        drain.start();
+        assertTrue(port > 0, "the router does not listen");
+        Thread logReader = new Thread(() -> log.lines().forEach(logLines::add));
+        logReader.setDaemon(true);
+        logReader.start();
     }
 
     @AfterEach
-    void stop() throws InterruptedException {
+    void stopRouterAndDeployment() throws InterruptedException {
         router.destroyForcibly().waitFor();
         deployment.close();
     }
 
-    private static Connection connect(InetSocketAddress at) throws SQLException {
-        return connect(at, "svc", "");
+    private static Connection connect(InetSocketAddress address) throws SQLException {
+        return connect(address, "svc", "");
     }
 
-    private static Connection connect(InetSocketAddress at, String user, String more) throws SQLException {
-        return DriverManager.getConnection("jdbc:postgresql://127.0.0.1:" + at.getPort() + "/main?user=" + user + more
-                + "&preferQueryMode=simple&assumeMinServerVersion=15&sslmode=disable");
+    private static Connection connect(InetSocketAddress address, String user, String extraParameters)
+            throws SQLException {
+        return DriverManager.getConnection("jdbc:postgresql://127.0.0.1:" + address.getPort() + "/main?user=" + user
+                + extraParameters + "&preferQueryMode=simple&assumeMinServerVersion=15&sslmode=disable");
     }
 
-    private InetSocketAddress routed() {
+    private InetSocketAddress routerAddress() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private String comment(String kind, int wait) {
-        return " /* id=t" + ids++ + ",c=" + kind + ",d=" + wait + ",cluster=0 */";
+    private String comment(String requestClass, int deadlineMillis) {
+        return " /* id=t" + nextId++ + ",c=" + requestClass + ",d=" + deadlineMillis + ",cluster=0 */";
     }
 
-    private String read(Connection c, String key, String kind) throws SQLException {
-        try (Statement s = c.createStatement();
-                ResultSet r = s.executeQuery("SELECT v FROM records WHERE k = '" + key + "'" + comment(kind, 500))) {
-            assertTrue(r.next());
-            return new String(r.getBytes(1), StandardCharsets.UTF_8);
+    private String read(Connection connection, String key, String requestClass) throws SQLException {
+        try (Statement statement = connection.createStatement();
+                ResultSet rows = statement.executeQuery(
+                        "SELECT v FROM records WHERE k = '" + key + "'" + comment(requestClass, 500))) {
+            assertTrue(rows.next());
+            return new String(rows.getBytes(1), StandardCharsets.UTF_8);
         }
     }
 
-    private String write(Connection c, String key, String value) throws SQLException {
-        try (Statement s = c.createStatement();
-                ResultSet r = s.executeQuery("INSERT INTO records (k, v) VALUES ('" + key + "', '" + value
+    private String write(Connection connection, String key, String value) throws SQLException {
+        try (Statement statement = connection.createStatement();
+                ResultSet rows = statement.executeQuery("INSERT INTO records (k, v) VALUES ('" + key + "', '" + value
                         + "') RETURNING v" + comment("reading-upload", 3000))) {
-            assertTrue(r.next());
-            return new String(r.getBytes(1), StandardCharsets.UTF_8);
+            assertTrue(rows.next());
+            return new String(rows.getBytes(1), StandardCharsets.UTF_8);
         }
     }
 
-    private InetSocketAddress node(boolean primary) throws IOException {
+    private InetSocketAddress nodeAddress(boolean primary) throws IOException {
         return deployment.views().stream()
                 .filter(v -> v.primary() == primary)
                 .findFirst()
@@ -130,9 +133,9 @@
     }
 
     @Test
-    void thePostgresDriverReadsAndWritesAtAStandIn() throws Exception {
-        try (Connection primary = connect(node(true));
-                Connection replica = connect(node(false))) {
+    void postgresDriverReadsAndWritesOnSimulatedNode() throws Exception {
+        try (Connection primary = connect(nodeAddress(true));
+                Connection replica = connect(nodeAddress(false))) {
             assertEquals("reading k1", read(replica, "k1", "archive-read"));
             assertEquals("21.5", write(primary, "k1", "21.5"));
             assertEquals("21.5", read(primary, "k1", "archive-read"));
@@ -143,25 +146,27 @@
 
     @Test
     void thePostgresDriverReadsAndWritesThroughTheRouter() throws Exception {
-        try (Connection c = connect(routed())) {
-            assertEquals("reading k1", read(c, "k1", "archive-read"));
-            assertEquals("21.5", write(c, "k1", "21.5"));
-            long before = served(false);
+        try (Connection connection = connect(routerAddress())) {
+            assertEquals("reading k1", read(connection, "k1", "archive-read"));
+            assertEquals("21.5", write(connection, "k1", "21.5"));
+            long servedBefore = servedCount(false);
             for (int i = 0; i < 10; i++) {
-                read(c, "k1", "archive-read");
+                read(connection, "k1", "archive-read");
             }
-            assertEquals(10, served(false) - before, "archive reads go to replicas");
+            assertEquals(10, servedCount(false) - servedBefore, "archive reads served by replicas");
             assertEquals(
                     "0A000",
-                    assertThrows(SQLException.class, () -> c.createStatement().execute("DELETE FROM records"))
+                    assertThrows(
+                                    SQLException.class,
+                                    () -> connection.createStatement().execute("DELETE FROM records"))
                             .getSQLState());
         }
     }
 
     @Test
-    void eachTeamIsHeldToItsContractAndAReloadForgetsNoSpending() throws Exception {
+    void enforcesEachTeamsContractAndKeepsItsUsageOverReload() throws Exception {
         router.destroyForcibly().waitFor();
-        String terms = """
+        String contracts = """
                 team uploaders {
                  rate 1000/s
                 }
@@ -173,25 +178,25 @@
                  burst 4
                 }
                 """;
-        serve(String.format(terms, 6)); // it is one of two routers: half of each contract is its part
-        try (Connection uploaders = connect(routed(), "anyone", "&ApplicationName=team:uploaders");
-                Connection parish = connect(routed(), "parish", "");
-                Connection portal = connect(routed(), "portal", "");
-                Connection nobody = connect(routed(), "nobody", "")) {
+        startRouter(String.format(contracts, 6)); // one of two routers, so it enforces half of each contract
+        try (Connection uploaders = connect(routerAddress(), "anyone", "&ApplicationName=team:uploaders");
+                Connection parish = connect(routerAddress(), "parish", "");
+                Connection portal = connect(routerAddress(), "portal", "");
+                Connection nobody = connect(routerAddress(), "nobody", "")) {
             for (int i = 0; i < 3; i++) {
                 read(parish, "k", "archive-read");
             }
-            SQLException over = assertThrows(SQLException.class, () -> read(parish, "k", "archive-read"));
-            assertEquals("53300", over.getSQLState());
-            assertTrue(over.getMessage().matches("(?s).*Detail: [1-9]\\d{0,3}\\D?.*"), over.getMessage());
+            SQLException refusal = assertThrows(SQLException.class, () -> read(parish, "k", "archive-read"));
+            assertEquals("53300", refusal.getSQLState());
+            assertTrue(refusal.getMessage().matches("(?s).*Detail: [1-9]\\d{0,3}\\D?.*"), refusal.getMessage());
             write(portal, "k", "1");
             write(portal, "k", "2");
-            long before = served(true);
+            long servedBefore = servedCount(true);
             assertEquals(
                     "53300",
                     assertThrows(SQLException.class, () -> write(portal, "k", "3"))
                             .getSQLState());
-            assertEquals(before, served(true), "a refused upload reaches no node");
+            assertEquals(servedBefore, servedCount(true), "a refused upload reaches no node");
             for (int i = 0; i < 20; i++) {
                 assertEquals(
                         "2",
@@ -202,12 +207,12 @@
                     assertThrows(SQLException.class, () -> read(nobody, "k", "archive-read"))
                             .getSQLState());
 
-            Files.writeString(folder.resolve("c.conf"), String.format(terms, 8));
-            said.clear();
+            Files.writeString(directory.resolve("c.conf"), String.format(contracts, 8));
+            logLines.clear();
             new ProcessBuilder("kill", "-HUP", Long.toString(router.pid()))
                     .start()
                     .waitFor();
-            while (!said.take().contains("configuration read anew")) {
+            while (!logLines.take().contains("configuration read anew")) {
                 // other lines
             }
             read(parish, "k", "archive-read");
@@ -218,7 +223,7 @@
         }
     }
 
-    private long served(boolean primary) throws IOException {
+    private long servedCount(boolean primary) throws IOException {
         return deployment.views().stream()
                 .filter(v -> v.primary() == primary)
                 .mapToLong(Deployment.View::served)
@@ -226,34 +231,34 @@
     }
 
     @Test
-    void aReadIsServedWhileReplicasDieAndAWriteAfterThePrimaryHasFailedOver() throws Exception {
-        try (Connection c = connect(routed())) {
-            write(c, "k", "1");
-            List<Deployment.View> all = deployment.views();
-            for (int i = 0; i < all.size(); i++) {
-                if (all.get(i).primary() || all.get(i).zone().equals("papine")) {
+    void servesReadsWhileReplicasAreDownAndWritesAfterFailover() throws Exception {
+        try (Connection connection = connect(routerAddress())) {
+            write(connection, "k", "1");
+            List<Deployment.View> nodes = deployment.views();
+            for (int i = 0; i < nodes.size(); i++) {
+                if (nodes.get(i).primary() || nodes.get(i).zone().equals("papine")) {
                     deployment.kill(i);
                 }
             }
-            assertEquals("1", read(c, "k", "archive-read"));
-            SQLException last = null;
-            String done = null;
-            for (int tries = 0; tries < 200 && done == null; tries++) {
+            assertEquals("1", read(connection, "k", "archive-read"));
+            SQLException lastError = null;
+            String written = null;
+            for (int tries = 0; tries < 200 && written == null; tries++) {
                 try {
-                    done = write(c, "k", "2");
+                    written = write(connection, "k", "2");
                 } catch (SQLException e) {
-                    last = e; // the group takes no writes until a replica has taken over
+                    lastError = e; // the group rejects writes until a replica is promoted
                 }
             }
-            assertEquals("2", done, String.valueOf(last));
-            assertEquals("2", read(c, "k", "recent-read"));
+            assertEquals("2", written, String.valueOf(lastError));
+            assertEquals("2", read(connection, "k", "recent-read"));
         }
     }
 
     @Test
-    void psqlReadsAtAStandInAndThroughTheRouter() throws Exception {
+    void psqlReadsOnSimulatedNodeAndThroughRouter() throws Exception {
         Assumptions.assumeTrue(Files.isExecutable(Path.of("/usr/bin/psql")), "psql is not installed here");
-        assertEquals("reading k7", psql(node(false).getPort(), "SELECT v FROM records WHERE k = 'k7'"));
+        assertEquals("reading k7", psql(nodeAddress(false).getPort(), "SELECT v FROM records WHERE k = 'k7'"));
         assertEquals("reading k7", psql(port, "SELECT v FROM records WHERE k = 'k7'" + comment("archive-read", 500)));
     }
 
@@ -273,10 +278,10 @@
                 "main",
                 "-c",
                 statement));
-        Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
-        p.getOutputStream().close();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(p.waitFor(20, TimeUnit.SECONDS));
-        return said.strip();
+        Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
+        process.getOutputStream().close();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+        return output.strip();
     }
 }
--- a/router/src/test/java/stoatrill/ServeScenarioTest.java
+++ b/router/src/test/java/stoatrill/ServeScenarioTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import stoatrill.scenario.ServeStage;
 
-/** Starts the program and speaks to it over loopback; the actors are {@link ServeStage}'s. */
+/** Runs the router as a process and plays scenarios against it over loopback, with the actors of {@link ServeStage}. */
 class ServeScenarioTest extends ServeStage {
     @Test
-    void readsGoToTheLocalReplicaAndWritesToThePrimaryAndValuesComeThrough() throws Exception {
+    void routesReadsToLocalReplicaAndWritesToPrimaryAndReturnsValues() throws Exception {
         play(CONNECTED + """
         c send query ;
         c expect empty
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         play(CONNECTED + """
         c send read+write 1
         p expect write 10
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aReadGoesElsewhereAfterAnErrorAndAWriteDoesNot() throws Exception {
+    void retriesFailedReadOnAnotherServerButNotFailedWrite() throws Exception {
         play(CONNECTED + """
         c send read 1
         r1 expect read 1
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aWriteCutOffByItsServerFailsAndIsNotSentAgain() throws Exception {
+    void failsWriteWithoutRetryWhenServerClosesConnection() throws Exception {
         play(CONNECTED + """
         c send write 1
         p expect write 1
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void badInputGetsItsSqlStateAndTheRouterGoesOn() throws Exception {
+    void answersMalformedInputWithSqlStateAndKeepsServing() throws Exception {
         play("""
         a send hex 0000000804d2162f
         a expect byte N
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void whatIsNoUsableRequestIsAnErrorAndNeverForwarded() throws Exception {
+    void rejectsInvalidRequestsWithoutForwardingThem() throws Exception {
         play(CONNECTED + """
         c send read 1
         r1 expect read 1
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void whoSaysNothingOrNotAllIsEndedAndWhoStaysIdleIsNot() throws Exception {
+    void closesClientsWithIncompleteMessagesButNotIdleClients() throws Exception {
         play("""
         mute send hex
         begun send hex 0000
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void theErrorReachesWhoIsStillSending() throws Exception {
+    void deliversErrorToClientThatIsStillSending() throws Exception {
         play(CONNECTED + """
         huge send startup
         huge expect ready
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void drainedServersGetNothingNew() throws Exception {
+    void sendsNoNewRequestsToDrainedServers() throws Exception {
         play(CONNECTED + """
         list expect GET /v1/servers?from=5&hold_ms=WAIT
         list send {"rev":6,"all":false,"targets":[{"uid":"r1","endpoint":"127.0.0.1:9","az":"north",\
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void pushedListsAreAskedForBeforeTheRouterServesAndWatchedFromThenOn() throws Exception {
+    void fetchesPushedListBeforeServingAndWatchesItAfterwards() throws Exception {
         play(text -> text.replace("on_request", "pushed"), """
         c send startup
         c send read 1
@@ -216,9 +216,12 @@
         """);
     }
 
-    /** No primary is known, so 64 writes wait and more are unread; r1 turns out to be it once their client has left. */
+    /**
+     * No primary is known, so 64 writes of a client wait and its other writes stay unread. The client disconnects
+     * before r1's answer shows that r1 is the primary. None of the client's further writes may then be forwarded.
+     */
     @Test
-    void nothingIsSentOnForAClientThatHasLeftBehindMoreCommandsThanAreReadAtOnce() throws Exception {
+    void dropsUnreadCommandsOfDisconnectedClient() throws Exception {
         play(text -> text.replace("writer", "reader").replace("\"mostHeld\": 5", "\"mostHeld\": 500"), CONNECTED + """
         c send writes 90
         r1 expect write *
@@ -237,7 +240,7 @@
     }
 
     @Test
-    void commandsBehindMoreThanAreReadAtOnceGoOnOnceTheRouterIsReady() throws Exception {
+    void processesCommandsBeyondOneReadBatchOnceReady() throws Exception {
         play(text -> text.replace("\"targets\": [", "\"targets\": [], \"none\": ["), """
         c send startup
         c expect ready
@@ -250,12 +253,9 @@
         """);
     }
 
-    /**
-     * The router is stopped, so that a request and its client's end are there in one turn, as when the loop is
-     * late.
-     */
+    /** The router is paused so that it reads a request and the client's disconnect in one turn of a late event loop. */
     @Test
-    void nothingIsSentOnForAClientWhoseEndCanBeReadTogetherWithItsRequest() throws Exception {
+    void doesNotForwardRequestReadTogetherWithDisconnect() throws Exception {
         play(CONNECTED + """
         d send startup
         d expect ready
@@ -277,9 +277,9 @@
         """);
     }
 
-    /** The router is stopped, so that the answer and the client's end are there in one turn. */
+    /** The router is paused so that it reads the server's answer and the client's disconnect in one turn. */
     @Test
-    void aFailedAttemptIsNotFollowedByAnotherOnceItsClientHasLeft() throws Exception {
+    void doesNotRetryAfterClientHasDisconnected() throws Exception {
         play(CONNECTED + """
         c send read 1
         r1 expect read 1
@@ -303,7 +303,7 @@
     }
 
     @Test
-    void aCancelRequestEndsWhatItsConnectionWaitsForAndAWrongKeyChangesNothing() throws Exception {
+    void cancelRequestEndsPendingStatementAndWrongKeyChangesNothing() throws Exception {
         play(CONNECTED + """
         c send write 1
         p expect write 1
@@ -329,9 +329,12 @@
         """);
     }
 
-    /** Stopped from before the listener's end until after it, with a connection in the backlog and a signal twice. */
+    /**
+     * SIGTERM is sent twice. The router is paused over the time at which it would close the listener, while connections
+     * wait in the backlog.
+     */
     @Test
-    void atSigtermConnectionsInTheBacklogAreTakenBeforeTheListenerEnds() throws Exception {
+    void acceptsBacklogBeforeClosingListenerOnSigterm() throws Exception {
         play(
                 text -> text.replace("\"giveUp\": 3000000000", "\"giveUp\": 500000000")
                         .replace(": 128", ": 512"),
@@ -359,13 +362,17 @@
         """);
     }
 
-    /** Idle clients hold all that they may: discovery, a server and a new client are reached, and no work is lost. */
+    /**
+     * Idle clients use up all descriptors that they may use. The router must still reach discovery, a server and a new
+     * client, and lose no request.
+     */
     @ParameterizedTest
     @CsvSource({"64,64,''", "64,64,talking", "128,128,talking", "1024,1024,talking", "1024,64,''"})
-    void idleClientsUpToTheLimitOfDescriptorsKeepNobodyElseOut(int told, int had, String how) throws Exception {
-        descriptors = had;
+    void servesOthersWhenIdleClientsReachDescriptorLimit(
+            int configuredSockets, int descriptorLimit, String clientBehavior) throws Exception {
+        allowedDescriptors = descriptorLimit;
         play(
-                text -> text.replace("\"sockets\": 128", "\"sockets\": " + told),
+                text -> text.replace("\"sockets\": 128", "\"sockets\": " + configuredSockets),
                 CONNECTED + """
         c send write 1
         p expect write 1
@@ -375,12 +382,12 @@
         list expect GET /v1/servers?from=5&hold_ms=0
         list send {"rev":6,"all":false,"targets":[]}
         list expect GET /v1/servers?from=6&hold_ms=WAIT
-        """.formatted(had + 100, how) + OTHERS_ARE_SERVED);
+        """.formatted(descriptorLimit + 100, clientBehavior) + OTHERS_ARE_SERVED);
     }
 
-    /** 500 clients each begin a message of 128 KiB and send half of it, in a heap as small as in service. */
+    /** 500 clients each send half of a message of 128 KiB. The router's heap is as small as in production. */
     @Test
-    void manyMessagesThatAreBegunAndNotEndedLeaveRoomForTheOthers() throws Exception {
+    void servesOthersDespiteManyIncompleteMessages() throws Exception {
         play(text -> text.replace("\"sockets\": 128", "\"sockets\": 1024"), CONNECTED + """
         c send write 1
         p expect write 1
@@ -390,33 +397,36 @@
         """ + OTHERS_ARE_SERVED);
     }
 
-    /** Whatever part of its answer has come when the connection ends, an upload may have run and is not sent again. */
+    /**
+     * A write whose answer was received in part when its connection ended may have run, so the router must not send it
+     * again, wherever the answer is cut off.
+     */
     @Test
-    void aWriteWhoseAnswerIsCutOffAtAnyByteIsNotSentAgain() throws Exception {
+    void doesNotRetryWriteWhoseAnswerIsCutOffAtAnyByte() throws Exception {
         StringBuilder steps = new StringBuilder(CONNECTED);
-        int row = row("x").length;
-        int role = 5 + "server_role\0writer\0".length();
-        for (int n = 0; n < row + role + 6; n++) {
-            boolean whole = n == row || n == row + role;
+        int rowLength = row("x").length;
+        int roleLength = 5 + "server_role\0writer\0".length();
+        for (int cut = 0; cut < rowLength + roleLength + 6; cut++) {
+            boolean isComplete = cut == rowLength || cut == rowLength + roleLength;
             steps.append("c send write ")
-                    .append(n)
+                    .append(cut)
                     .append("\np expect write ")
-                    .append(n)
+                    .append(cut)
                     .append("\np send part ")
-                    .append(n)
+                    .append(cut)
                     .append("\nc expect ")
-                    .append(whole ? "row x" : "error 58000")
+                    .append(isComplete ? "row x" : "error 58000")
                     .append("\nc send write ok")
-                    .append(n)
+                    .append(cut)
                     .append("\np expect write ok")
-                    .append(n)
+                    .append(cut)
                     .append("\np send row y\nc expect row y\n");
         }
         play(steps.toString());
     }
 
     @Test
-    void atSigtermWhatWasTakenIsAnsweredBeforeTheProcessEnds() throws Exception {
+    void answersAcceptedRequestsBeforeExitOnSigterm() throws Exception {
         play(CONNECTED + """
         idle send startup
         idle expect ready
@@ -439,11 +449,11 @@
     }
 
     /**
-     * 64 writes wait for a primary, more lie behind them, and half a message behind those, while a file is read
-     * anew.
+     * 64 writes wait for a primary, further writes and an incomplete message queue up behind them, and the
+     * configuration is reloaded meanwhile.
      */
     @Test
-    void atSigtermAPipelinedTailIsAnsweredInItsOrderAndHalfAMessageHoldsNothingUp() throws Exception {
+    void answersPipelineInOrderOnSigtermDespiteIncompleteMessage() throws Exception {
         play(text -> text.replace("writer", "reader").replace("\"mostHeld\": 5", "\"mostHeld\": 500"), CONNECTED + """
         c send writes 90
         c send hex 510000
@@ -459,7 +469,7 @@
     }
 
     @Test
-    void atSighupDiscoveryMovesAndWhatIsUnderWayGoesOnAndABadFileChangesNothing() throws Exception {
+    void reloadOnSighupMovesDiscoveryKeepsRequestsAndIgnoresInvalidFile() throws Exception {
         play(CONNECTED + """
         list expect GET /v1/servers?from=5&hold_ms=WAIT
         c send read 1
@@ -486,32 +496,31 @@
     }
 
     @Test
-    void wrongUsageAndConfigurationEndWithOneLine() throws Exception {
-        assertEquals("stoatrill: PROXY_CONFIG is not set", lineOfFailure("serve"));
-        assertEquals(
-                "stoatrill: Unmatched argument at index 0: 'nosuch'; see stoatrill --help", lineOfFailure("nosuch"));
+    void usageAndConfigurationErrorsPrintOneLine() throws Exception {
+        assertEquals("stoatrill: PROXY_CONFIG is not set", errorLineOf("serve"));
+        assertEquals("stoatrill: Unmatched argument at index 0: 'nosuch'; see stoatrill --help", errorLineOf("nosuch"));
     }
 
     @Test
-    void structuredLogsAreOneObjectOrOneRowOfPairsALine() throws Exception {
-        for (String form : new String[] {"json", "kv"}) {
-            ProcessBuilder start = new ProcessBuilder(
+    void structuredLogsHaveOneObjectOrKeyValueRowPerLine() throws Exception {
+        for (String format : new String[] {"json", "kv"}) {
+            ProcessBuilder builder = new ProcessBuilder(
                     Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-cp",
                     System.getProperty("java.class.path"),
                     "stoatrill.Main",
                     "serve",
                     "--log",
-                    form);
-            start.environment().put("PROXY_CONFIG", "src/test/resources/config.json");
-            router = start.redirectErrorStream(true).start();
+                    format);
+            builder.environment().put("PROXY_CONFIG", "src/test/resources/config.json");
+            router = builder.redirectErrorStream(true).start();
             String line = router.inputReader(StandardCharsets.UTF_8).readLine();
             router.destroyForcibly().waitFor();
-            if (form.equals("json")) {
-                com.google.gson.JsonObject o =
+            if (format.equals("json")) {
+                com.google.gson.JsonObject entry =
                         com.google.gson.JsonParser.parseString(line).getAsJsonObject();
-                assertEquals("t1", o.getAsJsonObject("mdc").get("router").getAsString());
-                assertTrue(o.get("formattedMessage").getAsString().startsWith("t1 listens on"), line);
+                assertEquals("t1", entry.getAsJsonObject("mdc").get("router").getAsString());
+                assertTrue(entry.get("formattedMessage").getAsString().startsWith("t1 listens on"), line);
             } else {
                 assertTrue(
                         line.matches("time=\\S+ level=INFO logger=EventLoop router=t1 message=\"t1 listens on .*\" *"),
@@ -520,17 +529,17 @@
         }
     }
 
-    private String lineOfFailure(String command) throws Exception {
-        ProcessBuilder start = new ProcessBuilder(
+    private String errorLineOf(String command) throws Exception {
+        ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
                 "stoatrill.Main",
                 command);
-        start.environment().remove("PROXY_CONFIG");
-        router = start.redirectErrorStream(true).start();
-        String said = new String(router.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        builder.environment().remove("PROXY_CONFIG");
+        router = builder.redirectErrorStream(true).start();
+        String output = new String(router.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertNotEquals(0, router.waitFor());
-        return said.strip();
+        return output.strip();
     }
 }
--- a/router/src/test/java/stoatrill/UnreadAnswersTest.java
+++ b/router/src/test/java/stoatrill/UnreadAnswersTest.java
@@ -16,116 +16,120 @@
 import org.junit.jupiter.api.Test;
 import stoatrill.scenario.ServeStage;
 
-/** Clients that ask and never read, over real connections to a router with the heap that it has in service. */
+/** Clients that send requests and never read, over real connections to a router with the heap size of production. */
 class UnreadAnswersTest extends ServeStage {
-    /** Bytes of a value, nearly the largest that there may be. */
-    private static final int LARGE = 65_000;
+    /** Close to the largest allowed size of a value. */
+    private static final int LARGE_VALUE_BYTES = 65_000;
 
-    private static final String VALUE = "v".repeat(LARGE);
-    /** Bytes that the machine keeps for a client which doesn't read; what it keeps for the router comes to that. */
-    private static final int SMALL = 8_192;
-    /** Commands that a client may have unanswered. */
-    private static final int MOST_UNANSWERED = 64;
-    /** Reads of clients that don't read, for each of the one that does: so few that none is refused. */
-    private static final int PACE = 4;
+    private static final String VALUE = "v".repeat(LARGE_VALUE_BYTES);
+    /** The kernel's receive buffer for a client that doesn't read; its buffer on the router's side adds to that. */
+    private static final int SMALL_BUFFER_BYTES = 8_192;
+    /** How many commands of a client may be unanswered at a time. */
+    private static final int MAX_UNANSWERED_COUNT = 64;
+    /** Requests of clients that don't read, for each one of the client that does; low enough that none is refused. */
+    private static final int UNREAD_PER_READ_RATIO = 4;
 
-    private final List<Socket> deaf = new ArrayList<>();
+    private final List<Socket> nonReaders = new ArrayList<>();
     private Socket reader;
-    private DataInputStream readers;
-    private int asked;
-    private int served;
+    private DataInputStream readerInput;
+    private int readerRequestCount;
+    private int readerServedCount;
 
-    private void start() throws Exception {
+    private void startRouterAndReader() throws Exception {
         play(
                 text -> text.replace("\"mostHeld\": 5", "\"mostHeld\": 20000").replace(": 128", ": 512"),
                 CONNECTED + "r1 send always " + VALUE + "\nr2 send always " + VALUE);
         reader = connect();
-        readers = new DataInputStream(reader.getInputStream());
+        readerInput = new DataInputStream(reader.getInputStream());
         write(reader, startup());
-        assertEquals("ready", answer("reader", readers));
+        assertEquals("ready", readAnswer("reader", readerInput));
     }
 
-    private void clients(int count) throws IOException {
+    private void connectNonReaders(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             Socket client = new Socket();
-            client.setReceiveBufferSize(SMALL);
+            client.setReceiveBufferSize(SMALL_BUFFER_BYTES);
             connect(client);
             write(client, startup());
-            deaf.add(client);
+            nonReaders.add(client);
         }
     }
 
-    /** Each of them asks for so many large values; in between another client asks and reads. */
-    private void askAndRead(int each) throws IOException {
-        for (int n = 0; n < each; n++) {
-            for (int i = 0; i < deaf.size(); i++) {
+    /** Each non-reading client requests large values; in between, another client requests values and reads them. */
+    private void requestFromNonReadersAndRead(int requestsPerClient) throws IOException {
+        for (int n = 0; n < requestsPerClient; n++) {
+            for (int i = 0; i < nonReaders.size(); i++) {
                 try {
-                    write(deaf.get(i), query(READ.formatted("deaf-" + i + "-" + n)));
+                    write(nonReaders.get(i), query(READ.formatted("nonreader-" + i + "-" + n)));
                 } catch (SocketException e) {
-                    // one that reads nothing for some time is ended
+                    // the router closes clients that read nothing for some time
                 }
-                if (i % PACE == 0) {
-                    read();
+                if (i % UNREAD_PER_READ_RATIO == 0) {
+                    readOnce();
                 }
             }
         }
     }
 
-    private void read() throws IOException {
-        write(reader, query(READ.formatted("reader-" + asked++)));
-        served += answer("reader", readers).equals("row " + VALUE) ? 1 : 0;
+    private void readOnce() throws IOException {
+        write(reader, query(READ.formatted("reader-" + readerRequestCount++)));
+        readerServedCount += readAnswer("reader", readerInput).equals("row " + VALUE) ? 1 : 0;
     }
 
-    /** Large answers wait behind one that does not come: more of them than the heap could hold. */
+    /** Large answers, more than the heap could hold, wait behind an answer that does not arrive. */
     @Test
-    void answersBehindOneThatHangsLeaveRoomForTheOthers() throws Exception {
-        start();
-        clients(20);
-        for (int i = 0; i < deaf.size(); i++) {
-            write(deaf.get(i), query(WRITE.formatted("first-" + i)));
+    void servesOthersWhileLargeAnswersWaitBehindHangingOne() throws Exception {
+        startRouterAndReader();
+        connectNonReaders(20);
+        for (int i = 0; i < nonReaders.size(); i++) {
+            write(nonReaders.get(i), query(WRITE.formatted("first-" + i)));
             expect("p", "write first-" + i);
         }
-        askAndRead(MOST_UNANSWERED - 1);
-        assertTrue(served > asked / 2, served + " of " + asked + " served");
-        for (int i = 0; i < deaf.size(); i++) {
+        requestFromNonReadersAndRead(MAX_UNANSWERED_COUNT - 1);
+        assertTrue(
+                readerServedCount > readerRequestCount / 2,
+                readerServedCount + " of " + readerRequestCount + " served");
+        for (int i = 0; i < nonReaders.size(); i++) {
             send("p", "to first-" + i + " row y");
         }
-        int values = 0;
-        for (Socket client : deaf) {
+        int valueCount = 0;
+        for (Socket client : nonReaders) {
             DataInputStream in = new DataInputStream(client.getInputStream());
-            assertEquals("ready", answer("deaf", in));
-            assertEquals("row y", answer("deaf", in));
-            for (int n = 1; n < MOST_UNANSWERED; n++) {
-                String answer = answer("deaf", in);
+            assertEquals("ready", readAnswer("nonreader", in));
+            assertEquals("row y", readAnswer("nonreader", in));
+            for (int n = 1; n < MAX_UNANSWERED_COUNT; n++) {
+                String answer = readAnswer("nonreader", in);
                 assertTrue(Set.of("row " + VALUE, "error 58000", "error 53300").contains(answer), answer);
-                values += answer.startsWith("row") ? 1 : 0;
+                valueCount += answer.startsWith("row") ? 1 : 0;
             }
         }
-        assertTrue(values > 0, "all answers were given up");
-        read();
+        assertTrue(valueCount > 0, "all answers were dropped");
+        readOnce();
         assertTrue(router.isAlive());
     }
 
-    /** Many clients leave large answers unread in their connections. */
+    /** Many clients leave large answers unread on their connections. */
     @Test
-    void clientsThatNeverReadLeaveRoomForTheOthers() throws Exception {
-        start();
-        clients(130);
-        askAndRead(MOST_UNANSWERED);
-        assertTrue(served > asked / 2, served + " of " + asked + " served");
+    void servesOthersWhileManyClientsNeverRead() throws Exception {
+        startRouterAndReader();
+        connectNonReaders(130);
+        requestFromNonReadersAndRead(MAX_UNANSWERED_COUNT);
+        assertTrue(
+                readerServedCount > readerRequestCount / 2,
+                readerServedCount + " of " + readerRequestCount + " served");
         assertTrue(router.isAlive());
-        for (Socket client : deaf) {
-            int answers = 0;
+        for (Socket client : nonReaders) {
+            int answerCount = 0;
             try {
                 DataInputStream in = new DataInputStream(client.getInputStream());
-                while (answers <= MOST_UNANSWERED) { // the first is to the startup message
-                    answer("deaf", in);
-                    answers++;
+                while (answerCount <= MAX_UNANSWERED_COUNT) { // the first one answers the startup message
+                    readAnswer("nonreader", in);
+                    answerCount++;
                 }
             } catch (EOFException | SocketException e) {
-                // one that reads nothing for some time is ended
+                // the router closes clients that read nothing for some time
             }
-            assertTrue(answers > 0, "no answer");
+            assertTrue(answerCount > 0, "no answer");
         }
     }
 }
--- a/router/src/test/java/stoatrill/cli/CommandsTest.java
+++ b/router/src/test/java/stoatrill/cli/CommandsTest.java
@@ -12,23 +12,23 @@
 import picocli.CommandLine;
 
 class CommandsTest {
-    private final StringWriter out = new StringWriter();
+    private final StringWriter output = new StringWriter();
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private int run(String... args) {
         CommandLine line = Commands.line();
-        line.setOut(new PrintWriter(out, true)).setErr(new PrintWriter(out, true));
+        line.setOut(new PrintWriter(output, true)).setErr(new PrintWriter(output, true));
         return line.execute(args);
     }
 
     @Test
-    void wrongUsageIsOneLineAndStatusTwo() {
+    void usageErrorPrintsOneLineAndExitsWithTwo() {
         assertEquals(2, run("serv"));
         assertEquals(2, run());
         assertEquals(2, run("serve", "--log", "xml"));
-        assertEquals(3, out.toString().lines().count(), out.toString());
+        assertEquals(3, output.toString().lines().count(), output.toString());
     }
 
     @Test
@@ -37,25 +37,25 @@
             assertEquals(0, run(command, "--help"));
             assertEquals(0, run(command, "--version"));
         }
-        assertTrue(out.toString().contains("Usage: stoatrill check"));
+        assertTrue(output.toString().contains("Usage: stoatrill check"));
     }
 
     @Test
-    void checkNamesWhatIsWrong() throws Exception {
+    void checkReportsErrorsInFile() throws Exception {
         assertEquals(0, run("check", "src/test/resources/config.json"));
-        assertEquals(1, run("check", folder.resolve("none").toString()));
-        Path broken = Files.writeString(folder.resolve("b.conf"), "pool {\n");
+        assertEquals(1, run("check", directory.resolve("none").toString()));
+        Path broken = Files.writeString(directory.resolve("b.conf"), "pool {\n");
         assertEquals(1, run("check", broken.toString()));
         assertEquals(
                 1,
                 run(
                         "check",
-                        Files.writeString(folder.resolve("b.json"), "{\"name\": \"x\"}")
+                        Files.writeString(directory.resolve("b.json"), "{\"name\": \"x\"}")
                                 .toString()));
-        assertTrue(out.toString().contains("there is no such file"));
-        assertTrue(out.toString().contains(broken + ":1:6: the block \"pool\" is not closed"));
+        assertTrue(output.toString().contains("there is no such file"));
+        assertTrue(output.toString().contains(broken + ":1:6: the block \"pool\" is not closed"));
         assertTrue(
-                out.toString().contains("b.json: settings: familyInfo.readLevel is missing; a value is expected"),
-                out.toString());
+                output.toString().contains("b.json: settings: familyInfo.readLevel is missing; a value is expected"),
+                output.toString());
     }
 }
--- a/router/src/test/java/stoatrill/config/GeneratedSettingsTest.java
+++ b/router/src/test/java/stoatrill/config/GeneratedSettingsTest.java
@@ -27,126 +27,135 @@
 import stoatrill.discovery.ServerList;
 import stoatrill.scenario.Scenario;
 
-/** Settings over the ranges that the protocol's pages allow, and settings that are none. */
+/** Random settings over the ranges that the protocol specification allows, and invalid settings. */
 class GeneratedSettingsTest {
-    private static final long MS = 1_000_000L;
-    private static final long START = 1_700_000_000_000L * MS;
-    private static final String[] EFFECTS = {"pure", "token", "side_effect"};
-    private static final String[] LEVELS = {"lag_bound", "eventual", "causal", "strong"};
+    private static final long MILLI_NANOS = 1_000_000L;
+    private static final long START_NANOS = 1_700_000_000_000L * MILLI_NANOS;
+    private static final String[] SEMANTICS = {"pure", "token", "side_effect"};
+    private static final String[] READ_LEVELS = {"lag_bound", "eventual", "causal", "strong"};
 
-    /** A deployment as the reducer is told of it, and the classes that write. */
-    private record Drawn(String text, List<String> classes, List<Boolean> writes, List<Long> giveUps, int groups) {}
+    /** A generated configuration with its request classes: their names, which ones write, and their time limits. */
+    private record Deployment(
+            String config, List<String> classNames, List<Boolean> isWrite, List<Long> giveUpMillis, int groupCount) {}
 
-    private static String one(Random random, String... of) {
-        return "\"" + of[random.nextInt(of.length)] + "\"";
+    private static String pickQuoted(Random random, String... choices) {
+        return "\"" + choices[random.nextInt(choices.length)] + "\"";
     }
 
-    private static Drawn draw(Random random) {
-        List<String> names = new ArrayList<>();
-        List<Boolean> writes = new ArrayList<>();
-        List<Long> giveUps = new ArrayList<>();
+    private static Deployment generate(Random random) {
+        List<String> classNames = new ArrayList<>();
+        List<Boolean> isWrite = new ArrayList<>();
+        List<Long> giveUpMillis = new ArrayList<>();
         List<String> classes = new ArrayList<>();
-        List<String> levels = new ArrayList<>();
-        List<String> bounds = new ArrayList<>();
+        List<String> readLevels = new ArrayList<>();
+        List<String> lagBounds = new ArrayList<>();
         for (int i = 1 + random.nextInt(6); i > 0; i--) {
-            boolean write = random.nextInt(3) == 0;
-            long giveUp = 60L + random.nextInt(8_000);
-            String level = write ? "\"mutate\"" : one(random, LEVELS);
-            names.add(List.of("a", "b-2", "3", "long_name", "X.y").get(random.nextInt(5)) + "-" + i);
-            writes.add(write);
-            giveUps.add(giveUp);
-            levels.add(level);
-            bounds.add(level.equals("\"lag_bound\"") ? Long.toString((50 + random.nextInt(900)) * MS) : "0");
-            classes.add("{\"name\":\"" + names.get(names.size() - 1) + "\",\"aim\":"
-                    + (giveUp * MS / (1 + random.nextInt(8)))
-                    + ",\"giveUp\":" + giveUp * MS + ",\"gain\":" + random.nextInt(9) + ",\"lateWorth\":"
+            boolean writesData = random.nextInt(3) == 0;
+            long limitMillis = 60L + random.nextInt(8_000);
+            String level = writesData ? "\"mutate\"" : pickQuoted(random, READ_LEVELS);
+            classNames.add(List.of("a", "b-2", "3", "long_name", "X.y").get(random.nextInt(5)) + "-" + i);
+            isWrite.add(writesData);
+            giveUpMillis.add(limitMillis);
+            readLevels.add(level);
+            lagBounds.add(
+                    level.equals("\"lag_bound\"") ? Long.toString((50 + random.nextInt(900)) * MILLI_NANOS) : "0");
+            classes.add("{\"name\":\"" + classNames.get(classNames.size() - 1) + "\",\"aim\":"
+                    + (limitMillis * MILLI_NANOS / (1 + random.nextInt(8)))
+                    + ",\"giveUp\":" + limitMillis * MILLI_NANOS + ",\"gain\":" + random.nextInt(9) + ",\"lateWorth\":"
                     + random.nextDouble()
-                    + ",\"semantics\":" + (write ? one(random, "token", "side_effect") : one(random, EFFECTS))
+                    + ",\"semantics\":"
+                    + (writesData ? pickQuoted(random, "token", "side_effect") : pickQuoted(random, SEMANTICS))
                     + ",\"group\":"
-                    + one(random, "all", "zone", "cell") + ",\"repeatWindow\":" + random.nextInt(5_000) * MS + "}");
+                    + pickQuoted(random, "all", "zone", "cell") + ",\"repeatWindow\":"
+                    + random.nextInt(5_000) * MILLI_NANOS + "}");
         }
-        int zones = 1 + random.nextInt(4);
-        int groups = 1 + random.nextInt(3);
+        int zoneCount = 1 + random.nextInt(4);
+        int groupCount = 1 + random.nextInt(3);
         List<String> zoneNames = new ArrayList<>();
-        for (int i = 0; i < zones; i++) {
+        for (int i = 0; i < zoneCount; i++) {
             zoneNames.add("\"z-" + i + "\"");
         }
         List<String> targets = new ArrayList<>();
-        for (int i = 0; i < groups * (1 + random.nextInt(5)); i++) {
+        for (int i = 0; i < groupCount * (1 + random.nextInt(5)); i++) {
             targets.add("{\"uid\":\"s" + i + "\",\"endpoint\":\"127.0.0.1:" + (i + 1) + "\",\"az\":"
-                    + zoneNames.get(random.nextInt(zones))
-                    + ",\"model\":\"m\",\"pod_group\":" + i % groups + ",\"state\":"
-                    + one(random, "Ready", "Ready", "Terminating")
-                    + ",\"boot_ms\":" + (random.nextBoolean() ? 0 : START / MS - random.nextInt(30_000))
+                    + zoneNames.get(random.nextInt(zoneCount))
+                    + ",\"model\":\"m\",\"pod_group\":" + i % groupCount + ",\"state\":"
+                    + pickQuoted(random, "Ready", "Ready", "Terminating")
+                    + ",\"boot_ms\":" + (random.nextBoolean() ? 0 : START_NANOS / MILLI_NANOS - random.nextInt(30_000))
                     + ",\"access\":"
-                    + one(random, "writer", "reader") + "}");
+                    + pickQuoted(random, "writer", "reader") + "}");
         }
         List<String> tenants = new ArrayList<>();
         for (int i = random.nextInt(4); i > 0; i--) {
             tenants.add("{\"name\":\"t-" + i + "\",\"share\":0.2,\"allowancePerS\":" + random.nextInt(300) + "}");
         }
         String settings = "\"allowed\":{\"cancel\":" + random.nextBoolean() + ",\"connIdle\":"
-                + (1 + random.nextInt(60)) * 1_000L * MS
-                + ",\"connectTimeout\":" + (50 + random.nextInt(950)) * MS + ",\"maxAttempts\":"
+                + (1 + random.nextInt(60)) * 1_000L * MILLI_NANOS
+                + ",\"connectTimeout\":" + (50 + random.nextInt(950)) * MILLI_NANOS + ",\"maxAttempts\":"
                 + (1 + random.nextInt(9))
-                + ",\"maxRetryAfter\":" + random.nextInt(2_000) * MS + ",\"mayProbe\":" + random.nextBoolean()
+                + ",\"maxRetryAfter\":" + random.nextInt(2_000) * MILLI_NANOS + ",\"mayProbe\":" + random.nextBoolean()
                 + ",\"mostHeld\":20000,\"peers\":false,\"retryAfter\":" + random.nextBoolean() + ",\"secondCopies\":"
                 + random.nextBoolean() + "},\"classes\":[" + String.join(",", classes) + "],\"discovery\":"
-                + one(random, "on_request", "pushed") + ",\"hostTypes\":[\"m\"],\"zones\":["
+                + pickQuoted(random, "on_request", "pushed") + ",\"hostTypes\":[\"m\"],\"zones\":["
                 + String.join(",", zoneNames)
-                + "],\"zone\":" + random.nextInt(zones) + ",\"me\":0,\"replicasOfMe\":" + (1 + random.nextInt(120))
+                + "],\"zone\":" + random.nextInt(zoneCount) + ",\"me\":0,\"replicasOfMe\":" + (1 + random.nextInt(120))
                 + ",\"step\":"
-                + (1 + random.nextInt(10)) * MS + ",\"overShareWorth\":0.1,\"realms\":[" + String.join(",", tenants)
-                + "],\"familyInfo\":{\"serverChecks\":" + one(random, "off", "bounce", "await") + ",\"holdsFor\":"
-                + random.nextInt(200) * MS
-                + ",\"progressTold\":" + random.nextBoolean() + ",\"tokenMode\":" + one(random, "brought", "kept")
+                + (1 + random.nextInt(10)) * MILLI_NANOS + ",\"overShareWorth\":0.1,\"realms\":["
+                + String.join(",", tenants)
+                + "],\"familyInfo\":{\"serverChecks\":" + pickQuoted(random, "off", "bounce", "await")
+                + ",\"holdsFor\":"
+                + random.nextInt(200) * MILLI_NANOS
+                + ",\"progressTold\":" + random.nextBoolean() + ",\"tokenMode\":"
+                + pickQuoted(random, "brought", "kept")
                 + ",\"showsRole\":"
-                + one(random, "trailing", "static", "off") + ",\"oldestData\":[" + String.join(",", bounds)
+                + pickQuoted(random, "trailing", "static", "off") + ",\"oldestData\":[" + String.join(",", lagBounds)
                 + "],\"readLevel\":["
-                + String.join(",", levels) + "]},\"report\":{\"columns\":[\"x0\",\"q\"],\"how\":"
-                + one(random, "inline", "on_probe", "off")
-                + "},\"rules\":{\"answerSlack\":8000000,\"askWithin\":" + (1 + random.nextInt(20)) * 1_000L * MS
+                + String.join(",", readLevels) + "]},\"report\":{\"columns\":[\"x0\",\"q\"],\"how\":"
+                + pickQuoted(random, "inline", "on_probe", "off")
+                + "},\"rules\":{\"answerSlack\":8000000,\"askWithin\":"
+                + (1 + random.nextInt(20)) * 1_000L * MILLI_NANOS
                 + ",\"coldFrom\":"
-                + random.nextDouble() + ",\"drainGrace\":" + (250 + random.nextInt(1_750)) * MS + ",\"tipAfter\":"
-                + (200 + random.nextInt(3_000)) * MS + ",\"tipMultiple\":" + (1 + 3 * random.nextDouble())
+                + random.nextDouble() + ",\"drainGrace\":" + (250 + random.nextInt(1_750)) * MILLI_NANOS
+                + ",\"tipAfter\":"
+                + (200 + random.nextInt(3_000)) * MILLI_NANOS + ",\"tipMultiple\":" + (1 + 3 * random.nextDouble())
                 + ",\"warmAfter\":"
-                + random.nextInt(20_000) * MS + "}";
-        return new Drawn(
+                + random.nextInt(20_000) * MILLI_NANOS + "}";
+        return new Deployment(
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\""
                         + Integer.toHexString(random.nextInt()) + "\",\"limits\":{\"sockets\":"
                         + (64 + random.nextInt(960))
                         + "},\"known\":{\"rev\":5,\"all\":true,\"targets\":[" + String.join(",", targets)
                         + "]},\"settings\":{" + settings + "}}",
-                names,
-                writes,
-                giveUps,
-                groups);
+                classNames,
+                isWrite,
+                giveUpMillis,
+                groupCount);
     }
 
-    /** Servers that answer, miss, fail, reset or hang by chance, and a count of the answers to each request. */
-    private static final class Servers extends QuietEffects {
+    /** Servers that randomly answer, miss, fail, reset or hang. Counts the answers to each request. */
+    private static final class RandomServers extends QuietEffects {
         private final Random random;
-        private final List<Runnable> due = new ArrayList<>();
-        private final int[] answers;
+        private final List<Runnable> pending = new ArrayList<>();
+        private final int[] answerCounts;
         private Reducer reducer;
-        private long now = START;
+        private long nowNanos = START_NANOS;
 
-        Servers(Random random, int requests) {
+        RandomServers(Random random, int requestCount) {
             this.random = random;
-            this.answers = new int[requests];
+            this.answerCounts = new int[requestCount];
         }
 
-        private void later(Runnable what) {
-            due.add(random.nextInt(due.size() + 1), what);
+        private void runLater(Runnable action) {
+            pending.add(random.nextInt(pending.size() + 1), action);
         }
 
         @Override
         public void open(long connection, InetSocketAddress endpoint) {
-            later(() -> {
+            runLater(() -> {
                 if (random.nextInt(8) > 0) {
-                    reducer.connected(now, connection);
+                    reducer.connected(nowNanos, connection);
                 } else {
-                    reducer.broken(now, connection, stoatrill.core.Break.ENDED);
+                    reducer.broken(nowNanos, connection, stoatrill.core.Break.ENDED);
                 }
             });
         }
@@ -165,40 +174,40 @@
         private void answer(long connection) {
             Result[] results = {Result.OK, Result.OK, Result.MISS, Result.ERROR, Result.FULL};
             int chance = random.nextInt(9);
-            later(() -> {
+            runLater(() -> {
                 if (chance < results.length) {
                     reducer.answered(
-                            now,
+                            nowNanos,
                             connection,
                             new ServerAnswer(
                                     results[chance],
                                     random.nextBoolean() ? Role.PRIMARY : Role.REPLICA,
-                                    now / MS - random.nextInt(400),
+                                    nowNanos / MILLI_NANOS - random.nextInt(400),
                                     null,
                                     new byte[1]),
                             true);
                 } else if (chance < 7) {
-                    reducer.broken(now, connection, stoatrill.core.Break.SPOILT);
-                } // else it hangs
+                    reducer.broken(nowNanos, connection, stoatrill.core.Break.SPOILT);
+                } // otherwise the server hangs
             });
         }
 
         @Override
         public void answer(long client, long slot, Answer answer) {
-            answers[(int) slot]++;
+            answerCounts[(int) slot]++;
         }
     }
 
     @Property(tries = 150)
-    void withAnySettingsEachRequestGetsOneAnswerBeforeItsTimeIsOver(@ForAll long seed) throws Exception {
+    void answersEachRequestOnceBeforeItsDeadlineWithAnySettings(@ForAll long seed) throws Exception {
         Random random = new Random(seed);
-        Drawn drawn = draw(random);
-        Config config = Config.parse(drawn.text(), Map.of());
-        int requests = 120;
-        Servers servers = new Servers(random, requests);
+        Deployment deployment = generate(random);
+        Config config = Config.parse(deployment.config(), Map.of());
+        int requestCount = 120;
+        RandomServers servers = new RandomServers(random, requestCount);
         Reducer reducer = new Reducer(
                 servers,
-                new Clocks(START, START),
+                new Clocks(START_NANOS, START_NANOS),
                 new Deadlines(),
                 new Reducer.Setup(
                         config.settings(),
@@ -210,36 +219,40 @@
                         30,
                         config.seed()));
         servers.reducer = reducer;
-        reducer.members(START, ListKind.CACHED, ServerList.parse(config.known()).entries());
-        long[] by = new long[requests];
-        for (int step = 0, slot = 0; step < 10_000 && (slot < requests || reducer.unanswered() > 0); step++) {
-            servers.now += MS;
-            if (slot < requests && random.nextInt(3) == 0) {
-                int kind = random.nextInt(drawn.classes().size());
-                by[slot] = servers.now + drawn.giveUps().get(kind) * MS + 8 * MS;
+        reducer.members(
+                START_NANOS, ListKind.CACHED, ServerList.parse(config.known()).entries());
+        long[] deadlines = new long[requestCount];
+        for (int step = 0, slot = 0; step < 10_000 && (slot < requestCount || reducer.unanswered() > 0); step++) {
+            servers.nowNanos += MILLI_NANOS;
+            if (slot < requestCount && random.nextInt(3) == 0) {
+                int classIndex = random.nextInt(deployment.classNames().size());
+                deadlines[slot] =
+                        servers.nowNanos + deployment.giveUpMillis().get(classIndex) * MILLI_NANOS + 8 * MILLI_NANOS;
                 reducer.request(
-                        servers.now,
+                        servers.nowNanos,
                         1,
                         slot,
                         new ClientRequest(
                                 "q" + slot,
-                                drawn.classes().get(kind),
+                                deployment.classNames().get(classIndex),
                                 "k" + random.nextInt(5),
-                                random.nextInt(drawn.groups()),
-                                drawn.giveUps().get(kind),
+                                random.nextInt(deployment.groupCount()),
+                                deployment.giveUpMillis().get(classIndex),
                                 0,
                                 random.nextBoolean(),
-                                drawn.writes().get(kind),
+                                deployment.isWrite().get(classIndex),
                                 wait -> new byte[1]));
                 slot++;
             }
-            for (int n = servers.due.size() / 4; n > 0; n--) {
-                servers.due.remove(0).run();
+            for (int n = servers.pending.size() / 4; n > 0; n--) {
+                servers.pending.remove(0).run();
             }
-            reducer.tick(servers.now);
+            reducer.tick(servers.nowNanos);
             for (int i = 0; i < slot; i++) {
-                assertTrue(servers.answers[i] <= 1, "two answers");
-                assertTrue(servers.answers[i] == 1 || servers.now <= by[i], "no answer in time");
+                assertTrue(servers.answerCounts[i] <= 1, "two answers");
+                assertTrue(
+                        servers.answerCounts[i] == 1 || servers.nowNanos <= deadlines[i],
+                        "no answer before the deadline");
             }
         }
         assertEquals(0, reducer.unanswered());
@@ -262,14 +275,15 @@
       "sockets": 128 | "sockets": "many" | limits.sockets is "many"; a whole number from 1 on is expected
       "sockets": 128 | "sockets": [] | limits.sockets is []; a whole number from 1 on is expected
       """)
-    void aWrongSettingIsNamedByItsPathWithWhatWasFoundAndWhatIsExpected(String was, String is, String line)
+    void invalidSettingIsReportedWithPathValueAndExpectation(String validText, String invalidText, String message)
             throws Exception {
         String text = Scenario.config();
-        assertTrue(text.contains(was));
-        String wrong = text.replaceFirst(java.util.regex.Pattern.quote(was), is == null ? "" : is);
+        assertTrue(text.contains(validText));
+        String invalidConfig =
+                text.replaceFirst(java.util.regex.Pattern.quote(validText), invalidText == null ? "" : invalidText);
         assertEquals(
-                line,
-                assertThrows(ConfigException.class, () -> Config.parse(wrong, Map.of()))
+                message,
+                assertThrows(ConfigException.class, () -> Config.parse(invalidConfig, Map.of()))
                         .getMessage());
     }
 }
--- a/router/src/test/java/stoatrill/homes/HomeAssignmentTest.java
+++ b/router/src/test/java/stoatrill/homes/HomeAssignmentTest.java
@@ -29,48 +29,48 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class HomeAssignmentTest {
-    private static final int GROUPS = 280;
-    private static final int MOST_CHANGED = 100;
-    private static final List<Homes> GOLDEN = List.of(
+    private static final int GROUP_COUNT = 280;
+    private static final int MAX_CHANGED_ROUTER_COUNT = 100;
+    private static final List<Homes> EXPECTED_HOMES = List.of(
             new Homes(-1, List.of("d", "c")),
             new Homes(0, List.of("d", "b")),
             new Homes(1, List.of("b", "a")),
             new Homes(7, List.of("\u00e9", "a")),
             new Homes(Integer.MAX_VALUE, List.of("b", "c")));
 
-    private static Set<String> routers(int many) {
-        return routers(many, "router");
+    private static Set<String> routers(int count) {
+        return routers(count, "router");
     }
 
-    private static Set<String> routers(int many, String prefix) {
-        return IntStream.range(0, many)
+    private static Set<String> routers(int count, String prefix) {
+        return IntStream.range(0, count)
                 .mapToObj(number -> prefix + number)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private static Set<Integer> groups(int many) {
-        return IntStream.range(0, many).boxed().collect(Collectors.toCollection(TreeSet::new));
+    private static Set<Integer> groups(int count) {
+        return IntStream.range(0, count).boxed().collect(Collectors.toCollection(TreeSet::new));
     }
 
     private static HomeAssignment assign(Set<String> routers, int groups, HomeSettings settings) {
         return HomeAssignment.of(routers, groups(groups), settings);
     }
 
-    private static Map<String, Integer> loads(HomeAssignment homes) {
-        return counts(homes.all().stream().flatMap(each -> each.routers().stream()));
+    private static Map<String, Integer> homeCounts(HomeAssignment homes) {
+        return countByName(homes.all().stream().flatMap(each -> each.routers().stream()));
     }
 
-    private static Map<String, Integer> firsts(HomeAssignment homes) {
-        return counts(homes.all().stream().flatMap(each -> each.first().stream()));
+    private static Map<String, Integer> firstHomeCounts(HomeAssignment homes) {
+        return countByName(homes.all().stream().flatMap(each -> each.first().stream()));
     }
 
-    private static Map<String, Integer> counts(Stream<String> names) {
+    private static Map<String, Integer> countByName(Stream<String> names) {
         Map<String, Integer> counts = new HashMap<>();
         names.forEach(name -> counts.merge(name, 1, Integer::sum));
         return counts;
     }
 
-    private static int most(Map<String, Integer> counts) {
+    private static int maxCount(Map<String, Integer> counts) {
         return counts.isEmpty() ? 0 : Collections.max(counts.values());
     }
 
@@ -78,28 +78,32 @@
         return (int) Math.ceil(value);
     }
 
-    /** Everything that holds for any assignment. */
-    private static void check(HomeAssignment homes, Set<String> routers, int groups, HomeSettings settings) {
-        int each = Math.min(settings.homesPerGroup(), routers.size());
+    /** Checks the invariants of every assignment. */
+    private static void assertValid(HomeAssignment homes, Set<String> routers, int groups, HomeSettings settings) {
+        int expectedHomes = Math.min(settings.homesPerGroup(), routers.size());
         assertEquals(groups, homes.all().size());
         for (Homes ofGroup : homes.all()) {
-            assertEquals(each, ofGroup.routers().size(), ofGroup.toString());
-            assertEquals(each, new HashSet<>(ofGroup.routers()).size(), ofGroup.toString());
+            assertEquals(expectedHomes, ofGroup.routers().size(), ofGroup.toString());
+            assertEquals(expectedHomes, new HashSet<>(ofGroup.routers()).size(), ofGroup.toString());
             assertTrue(routers.containsAll(ofGroup.routers()), ofGroup.toString());
         }
         double mean = (double) groups / routers.size();
-        assertTrue(most(loads(homes)) <= ceil(settings.loadFactor() * mean * each));
-        assertTrue(most(firsts(homes)) <= ceil(settings.loadFactor() * mean));
+        assertTrue(maxCount(homeCounts(homes)) <= ceil(settings.loadFactor() * mean * expectedHomes));
+        assertTrue(maxCount(firstHomeCounts(homes)) <= ceil(settings.loadFactor() * mean));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 7, 25, 100, 400})
-    void noRouterIsAboveItsBound(int routers) {
-        check(assign(routers(routers), GROUPS, HomeSettings.DEFAULT), routers(routers), GROUPS, HomeSettings.DEFAULT);
+    void noRouterExceedsItsBound(int routers) {
+        assertValid(
+                assign(routers(routers), GROUP_COUNT, HomeSettings.DEFAULT),
+                routers(routers),
+                GROUP_COUNT,
+                HomeSettings.DEFAULT);
     }
 
     @Property(tries = 300)
-    void anyAssignmentKeepsItsBounds(
+    void everyAssignmentKeepsItsBounds(
             @ForAll @IntRange(min = 1, max = 40) int routers,
             @ForAll @IntRange(min = 1, max = 60) int groups,
             @ForAll @IntRange(min = 1, max = 5) int homesPerGroup,
@@ -107,56 +111,56 @@
             @ForAll @IntRange(max = 1_000) int prefix) {
         HomeSettings settings = new HomeSettings(homesPerGroup, loadFactor);
         Set<String> names = routers(routers, prefix + "-");
-        check(assign(names, groups, settings), names, groups, settings);
+        assertValid(assign(names, groups, settings), names, groups, settings);
     }
 
     @Property(tries = 300)
-    void evenTheTightestBoundIsKept(
+    void keepsTightestBound(
             @ForAll @IntRange(min = 1, max = 8) int routers,
             @ForAll @IntRange(min = 1, max = 60) int groups,
             @ForAll @IntRange(min = 1, max = 8) int homesPerGroup,
             @ForAll @IntRange(max = 1_000) int prefix) {
         HomeSettings settings = new HomeSettings(homesPerGroup, 1);
         Set<String> names = routers(routers, prefix + "-");
-        check(assign(names, groups, settings), names, groups, settings);
+        assertValid(assign(names, groups, settings), names, groups, settings);
     }
 
     @Property(tries = 100)
-    void theOrderOfTheInputDoesNotMatter(
+    void resultIsIndependentOfInputOrder(
             @ForAll @IntRange(min = 1, max = 40) int routers, @ForAll @LongRange(min = 0) long seed) {
         Random random = new Random(seed);
         List<String> names = new ArrayList<>(routers(routers));
-        List<Integer> numbers = new ArrayList<>(groups(GROUPS));
+        List<Integer> numbers = new ArrayList<>(groups(GROUP_COUNT));
         Collections.shuffle(names, random);
         Collections.shuffle(numbers, random);
         HomeAssignment shuffled =
                 HomeAssignment.of(new LinkedHashSet<>(names), new LinkedHashSet<>(numbers), HomeSettings.DEFAULT);
-        assertEquals(assign(routers(routers), GROUPS, HomeSettings.DEFAULT).all(), shuffled.all());
+        assertEquals(assign(routers(routers), GROUP_COUNT, HomeSettings.DEFAULT).all(), shuffled.all());
     }
 
     @Test
-    void theSameOnEveryMachine() {
+    void resultIsTheSameOnEveryMachine() {
         HomeAssignment homes = HomeAssignment.of(
                 Set.of("a", "b", "c", "d", "\u00e9"), Set.of(-1, 0, 1, 7, Integer.MAX_VALUE), HomeSettings.DEFAULT);
-        assertEquals(GOLDEN, homes.all());
+        assertEquals(EXPECTED_HOMES, homes.all());
     }
 
     @Test
-    void withoutRoutersOrWithAnUnknownGroupThereIsNoHome() {
+    void hasNoHomesWithoutRoutersOrForUnknownGroup() {
         Homes none = new Homes(3, List.of());
-        assertEquals(none, assign(Set.of(), GROUPS, HomeSettings.DEFAULT).of(3));
+        assertEquals(none, assign(Set.of(), GROUP_COUNT, HomeSettings.DEFAULT).of(3));
         assertEquals(none, assign(routers(5), 3, HomeSettings.DEFAULT).of(3));
         assertEquals(Optional.empty(), none.first());
         assertEquals(List.of(), assign(routers(5), 0, HomeSettings.DEFAULT).all());
     }
 
     @Test
-    void aLargeZoneIsNoTrouble() {
-        check(assign(routers(1_024), 1_024, HomeSettings.DEFAULT), routers(1_024), 1_024, HomeSettings.DEFAULT);
+    void assignsLargeZone() {
+        assertValid(assign(routers(1_024), 1_024, HomeSettings.DEFAULT), routers(1_024), 1_024, HomeSettings.DEFAULT);
     }
 
     @Test
-    void moreThanCanBeComputedIsRefused() {
+    void refusesTooManyPairs() {
         Set<Integer> groups = groups(4_096);
         InvalidHomesException refused = assertThrows(
                 InvalidHomesException.class, () -> HomeAssignment.of(routers(4_097), groups, HomeSettings.DEFAULT));
@@ -172,7 +176,7 @@
         "2, 1025, LOAD_FACTOR, 'the load factor is 1025.0, not 1 to 1024.0'",
         "2, NaN, LOAD_FACTOR, 'the load factor is NaN, not 1 to 1024.0'"
     })
-    void settingsOutOfRangeAreRefused(
+    void refusesSettingsOutOfRange(
             int homesPerGroup, double loadFactor, InvalidHomesException.Problem problem, String message) {
         InvalidHomesException refused =
                 assertThrows(InvalidHomesException.class, () -> new HomeSettings(homesPerGroup, loadFactor));
@@ -180,52 +184,55 @@
         assertEquals(message, refused.getMessage());
     }
 
-    /** Homes of groups that did not have the changed router, and that one of the two assignments lacks. */
-    private static int movedElsewhere(HomeAssignment with, HomeAssignment without, String changed) {
+    /** Counts homes of groups without the changed router that only the first assignment has. */
+    private static int homesMovedInOtherGroups(
+            HomeAssignment withRouter, HomeAssignment withoutRouter, String changed) {
         int moved = 0;
-        for (Homes before : with.all()) {
-            Set<String> lost = new HashSet<>(before.routers());
-            if (!lost.contains(changed)) {
-                lost.removeAll(without.of(before.group()).routers());
-                moved += lost.size();
+        for (Homes before : withRouter.all()) {
+            Set<String> missing = new HashSet<>(before.routers());
+            if (!missing.contains(changed)) {
+                missing.removeAll(withoutRouter.of(before.group()).routers());
+                moved += missing.size();
             }
         }
         return moved;
     }
 
-    private static int firstsMovedElsewhere(HomeAssignment with, HomeAssignment without, String changed) {
-        return (int) with.all().stream()
+    private static int firstHomesMovedInOtherGroups(
+            HomeAssignment withRouter, HomeAssignment withoutRouter, String changed) {
+        return (int) withRouter.all().stream()
                 .filter(before -> !before.routers().contains(changed))
                 .filter(before ->
-                        !before.first().equals(without.of(before.group()).first()))
+                        !before.first().equals(withoutRouter.of(before.group()).first()))
                 .count();
     }
 
     /**
-     * The capacities of all routers sum to the same before and after, so the changed router's capacity c is what the
-     * others' capacities change by, and it had c duties at most: each of these 2 c changes moves one duty on to a
-     * router with room, or pushes one out of a full router, which moves on in turn. Measured over all routers: 0 to
-     * 5.8 homes of other groups on the mean and 9 at worst, at most c on the mean at each size.
+     * The sum of all capacities is the same before and after, so the capacities of the other routers change by the
+     * changed router's capacity c in total, and that router had at most c assignments. Each of these 2 c changes moves
+     * one assignment to a router with room, or displaces one from a full router, which then moves in turn. Measured
+     * over all routers, a change moves 0 to 5.8 homes of other groups on average and 9 at worst, and at most c on
+     * average at each size.
      */
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 7, 14, 25, 58, 100, 400})
-    void aRouterThatLeavesOrJoinsMovesLittleElse(int routers) {
+    void routerThatLeavesOrJoinsMovesFewOtherHomes(int routers) {
         Set<String> all = routers(routers);
-        HomeAssignment with = assign(all, GROUPS, HomeSettings.DEFAULT);
-        int capacity = ceil(HomeSettings.DEFAULT.loadFactor() * 2 * GROUPS / routers);
-        List<String> changing = all.stream().limit(MOST_CHANGED).toList();
+        HomeAssignment withRouter = assign(all, GROUP_COUNT, HomeSettings.DEFAULT);
+        int capacity = ceil(HomeSettings.DEFAULT.loadFactor() * 2 * GROUP_COUNT / routers);
+        List<String> changing = all.stream().limit(MAX_CHANGED_ROUTER_COUNT).toList();
         int homesMoved = 0;
         int firstsMoved = 0;
         for (String changed : changing) {
-            Set<String> rest = new TreeSet<>(all);
-            rest.remove(changed);
-            HomeAssignment without = assign(rest, GROUPS, HomeSettings.DEFAULT);
-            int moved = movedElsewhere(with, without, changed);
+            Set<String> remaining = new TreeSet<>(all);
+            remaining.remove(changed);
+            HomeAssignment withoutRouter = assign(remaining, GROUP_COUNT, HomeSettings.DEFAULT);
+            int moved = homesMovedInOtherGroups(withRouter, withoutRouter, changed);
             assertTrue(moved <= 3 * capacity, moved + " homes moved with " + changed);
             homesMoved += moved;
-            firstsMoved += firstsMovedElsewhere(with, without, changed);
+            firstsMoved += firstHomesMovedInOtherGroups(withRouter, withoutRouter, changed);
         }
-        assertTrue(homesMoved <= capacity * changing.size(), homesMoved + " homes moved in all");
-        assertTrue(firstsMoved <= capacity * changing.size(), firstsMoved + " first homes moved in all");
+        assertTrue(homesMoved <= capacity * changing.size(), homesMoved + " homes moved in total");
+        assertTrue(firstsMoved <= capacity * changing.size(), firstsMoved + " first homes moved in total");
     }
 }
--- a/router/src/test/java/stoatrill/scenario/PgBytes.java
+++ b/router/src/test/java/stoatrill/scenario/PgBytes.java
@@ -3,17 +3,17 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Messages of PostgreSQL's wire protocol, as the scripted clients and servers of the tests write them. */
+/** Messages of the PostgreSQL wire protocol, as scripted clients and servers in tests send them. */
 public final class PgBytes {
-    /** The end of an answer. */
+    /** ReadyForQuery, which ends every answer. */
     public static final byte[] READY = message('Z', new byte[] {'I'});
-    /** What a server says to a startup message. */
+    /** A server's reply to a startup message: AuthenticationOk and ReadyForQuery. */
     public static final byte[] GREETING =
             ByteBuffer.allocate(15).put(message('R', new byte[4])).put(READY).array();
 
     private PgBytes() {}
 
-    /** A startup message of protocol 3.0. */
+    /** Returns a startup message of protocol 3.0. */
     public static byte[] startup() {
         return ByteBuffer.allocate(32)
                 .putInt(32)
@@ -22,12 +22,12 @@
                 .array();
     }
 
-    /** A simple query. */
+    /** Returns a simple query message. */
     public static byte[] query(String text) {
         return message('Q', (text + "\0").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** An answer of one row with one column, up to CommandComplete. */
+    /** Returns an answer with one row of one column, up to and including CommandComplete. */
     public static byte[] row(String value) {
         byte[] text = value.getBytes(StandardCharsets.UTF_8);
         byte[] data = ByteBuffer.allocate(6 + text.length)
@@ -47,7 +47,7 @@
                 .array();
     }
 
-    /** A message with its type and length. */
+    /** Returns a message with its type and length. */
     public static byte[] message(char type, byte[] body) {
         return ByteBuffer.allocate(5 + body.length)
                 .put((byte) type)
--- a/router/src/test/java/stoatrill/scenario/ProgramJar.java
+++ b/router/src/test/java/stoatrill/scenario/ProgramJar.java
@@ -8,20 +8,23 @@
 import java.util.stream.Stream;
 import stoatrill.Main;
 
-/** The program's classes in a jar, as in service: a directory would need a descriptor for each class loaded late. */
+/**
+ * Packs the program's classes into a jar, as in production. With a directory on the class path, each class that is
+ * loaded late would need a descriptor.
+ */
 final class ProgramJar {
     private ProgramJar() {}
 
-    /** This test's class path, with a jar of the program before all else, which is written to the folder. */
-    static String classPath(Path folder) throws Exception {
+    /** Writes a jar of the program to the directory and returns this test's class path with that jar first. */
+    static String classPath(Path directory) throws Exception {
         Path classes = Path.of(
                 Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        Path jar = folder.resolve("program.jar");
-        try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(jar));
+        Path jar = directory.resolve("program.jar");
+        try (JarOutputStream output = new JarOutputStream(Files.newOutputStream(jar));
                 Stream<Path> files = Files.walk(classes)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
-                out.putNextEntry(new JarEntry(classes.relativize(file).toString()));
-                Files.copy(file, out);
+                output.putNextEntry(new JarEntry(classes.relativize(file).toString()));
+                Files.copy(file, output);
             }
         }
         return jar + File.pathSeparator + System.getProperty("java.class.path");
