--- a/router/src/test/java/stoatrill/scenario/Scenario.java
+++ b/router/src/test/java/stoatrill/scenario/Scenario.java
@@ -3,29 +3,33 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The language of the tests: one step a line, {@code ACTOR send TEXT}, {@code ACTOR expect TEXT},
- * {@code ACTOR close} and {@code wait MILLIS}. What the texts mean is the stage's to say.
+ * Runs the scripts of scenario tests. Each line is one step: {@code ACTOR send TEXT}, {@code ACTOR expect TEXT},
+ * {@code ACTOR close} or {@code wait MILLIS}. The {@link Stage} defines the meaning of the texts.
  */
 public final class Scenario {
 
-    /** Where a scenario is played. */
+    /** Carries out the steps of a scenario. */
     public interface Stage {
+        /** Makes an actor send a text. */
         void send(String actor, String text) throws Exception;
 
+        /** Checks that an actor receives a text next. */
         void expect(String actor, String text) throws Exception;
 
+        /** Closes the connection of an actor. */
         void close(String actor) throws Exception;
 
+        /** Lets time pass. */
         void pass(long millis) throws Exception;
     }
 
     private Scenario() {}
 
-    /** Plays the steps in order; a failure names its line. */
+    /** Plays the steps in order. A failure names the line of its step. */
     public static void play(Stage stage, String steps) throws Exception {
-        int number = 0;
+        int lineNumber = 0;
         for (String line : steps.lines().toList()) {
-            number++;
+            lineNumber++;
             String[] words = line.strip().split(" ", 3);
             String text = words.length > 2 ? words[2] : "";
             try {
@@ -40,15 +44,15 @@
                     }
                 }
             } catch (AssertionError | Exception e) {
-                throw new AssertionError("line " + number + ", " + line.strip() + ": " + e.getMessage(), e);
+                throw new AssertionError("line " + lineNumber + ", " + line.strip() + ": " + e.getMessage(), e);
             }
         }
     }
 
-    /** The configuration that the scenarios start from. */
+    /** Returns the configuration that scenarios start from. */
     public static String config() throws Exception {
-        try (var in = Scenario.class.getResourceAsStream("/config.json")) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        try (var input = Scenario.class.getResourceAsStream("/config.json")) {
+            return new String(input.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 }
--- a/router/src/test/java/stoatrill/scenario/ServeStage.java
+++ b/router/src/test/java/stoatrill/scenario/ServeStage.java
@@ -40,14 +40,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Starts the program and speaks to it over loopback. Actors: {@code r1}, {@code r2} and {@code p} are scripted
- * servers, {@code list} is discovery and {@code list2} where it moves, {@code router} the process, which is sent
- * a signal after its file may have been replaced; any other name is a client's connection.
+ * Runs the router as a process and connects to it over loopback. The actors {@code r1}, {@code r2} and {@code p} are
+ * scripted servers. {@code list} is the discovery service and {@code list2} the one that a reload moves to.
+ * {@code router} is the process: its texts are signals, each sent after the configuration file has been replaced if the
+ * text says so. Any other name is a client connection.
  */
 public abstract class ServeStage implements Scenario.Stage {
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_SECONDS = 20;
     protected static final String CONNECTED = "c send startup\nc expect ready\n";
-    /** A new client gets its answer, and so does the one whose write 1 is under way. */
+    /** A new client gets its answer, and so does client c, whose write 1 is in progress. */
     protected static final String OTHERS_ARE_SERVED = """
         d send startup
         d expect ready
@@ -64,50 +65,51 @@
             "INSERT INTO records (k, v) VALUES ('a1', '\\x01') RETURNING v /* id=%s,c=upload,d=25000,cluster=0 */";
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
-    private final List<Closeable> open = new ArrayList<>();
-    private final Map<String, BlockingQueue<String>> heard = new ConcurrentHashMap<>();
-    private final Map<String, Socket> current = new ConcurrentHashMap<>();
+    private final List<Closeable> closeables = new ArrayList<>();
+    private final Map<String, BlockingQueue<String>> receivedByActor = new ConcurrentHashMap<>();
+    private final Map<String, Socket> latestSockets = new ConcurrentHashMap<>();
     private final Map<String, Socket> clients = new HashMap<>();
-    private final List<Socket> crowd = new ArrayList<>();
-    private final Map<String, String> addresses = new HashMap<>();
+    private final List<Socket> idleClients = new ArrayList<>();
+    private final Map<String, String> serverAddresses = new HashMap<>();
     private final Map<String, byte[]> cancelKeys = new HashMap<>();
-    /** The program, once it was started; ended with the test. */
+    /** The router process, null until it is started. It is killed at the end of the test. */
     protected Process router;
 
-    private Path config;
+    private Path configFile;
     private String configText;
-    private String configured = "list";
-    private long signalled;
-    private final Map<String, byte[]> rests = new HashMap<>();
-    private final Set<String> holding = ConcurrentHashMap.newKeySet();
-    private final Map<String, String> roles = new ConcurrentHashMap<>(Map.of("p", "writer"));
-    private final Map<String, byte[]> answersAtOnce = new ConcurrentHashMap<>();
-    /** How many descriptors the program may open, whatever its configuration says. */
-    protected int descriptors = 1024;
-    /** Where the program listens, once it was started. */
+    private String configuredDiscovery = "list";
+    private long signalledAt;
+    private final Map<String, byte[]> unsentRests = new HashMap<>();
+    private final Set<String> heldServers = ConcurrentHashMap.newKeySet();
+    private final Map<String, String> serverRoles = new ConcurrentHashMap<>(Map.of("p", "writer"));
+    private final Map<String, byte[]> automaticAnswers = new ConcurrentHashMap<>();
+    /** The limit on the descriptors of the router process, whatever its configuration says. */
+    protected int allowedDescriptors = 1024;
+    /** The port that the router listens on, once it is started. */
     protected int port;
 
-    /** Starts the program and plays the steps. */
+    /** Starts the router and plays the steps. */
     protected void play(String steps) throws Exception {
         play(text -> text, steps);
     }
 
-    /** Plays with a changed configuration. */
+    /** Starts the router with a changed configuration and plays the steps. */
     protected void play(UnaryOperator<String> change, String steps) throws Exception {
         String text = change.apply(Scenario.config());
         for (String server : List.of("r1", "r2", "p")) {
             text = text.replaceFirst(
-                    "127.0.0.1:9\", \"az\"", address(server, listen(s -> serve(server, s))) + "\", \"az\"");
+                    "127.0.0.1:9\", \"az\"",
+                    registerAddress(server, listen(socket -> serveConnection(server, socket))) + "\", \"az\"");
         }
         configText = text;
-        config = folder.resolve("config.json");
+        configFile = directory.resolve("config.json");
         configure("list");
-        ProcessBuilder start = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                "ulimit -n " + descriptors + "; exec \"$@\"",
+                "ulimit -n " + allowedDescriptors + "; exec \"$@\"",
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-ea",
@@ -116,74 +118,76 @@
                 "-XX:+UseSerialGC",
                 "-XX:MaxDirectMemorySize=8m",
                 "-cp",
-                ProgramJar.classPath(folder),
+                ProgramJar.classPath(directory),
                 "stoatrill.Main",
                 "serve");
-        start.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
-        start.environment().put("PROXY_CONFIG", config.toString());
-        router = start.redirectErrorStream(true).start();
+        builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
+        builder.environment().put("PROXY_CONFIG", configFile.toString());
+        router = builder.redirectErrorStream(true).start();
         BufferedReader log = new BufferedReader(new InputStreamReader(router.getInputStream(), StandardCharsets.UTF_8));
         String line = log.readLine();
         assertTrue(line != null && line.contains("listens on"), line);
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
-        background(() -> {
-            String next;
-            while ((next = log.readLine()) != null) {
-                hear("router", next.replaceFirst(".* - ", "").replaceFirst("(moves|kept as it was).*", "$1"));
+        runInBackground(() -> {
+            String logLine;
+            while ((logLine = log.readLine()) != null) {
+                recordReceived(
+                        "router", logLine.replaceFirst(".* - ", "").replaceFirst("(moves|kept as it was).*", "$1"));
             }
         });
         Scenario.play(this, steps);
     }
 
-    /** Writes the configuration so that it names that discovery, or writes what is none. */
+    /** Writes the configuration with the discovery service of that name, or an invalid one with any other text. */
     private void configure(String text) throws Exception {
-        boolean discovery = text.startsWith("list");
+        boolean namesDiscovery = text.startsWith("list");
         Files.writeString(
-                config,
-                !discovery ? text : configText.replace("127.0.0.1:9", "127.0.0.1:" + listen(s -> discover(text, s))));
+                configFile,
+                !namesDiscovery
+                        ? text
+                        : configText.replace(
+                                "127.0.0.1:9", "127.0.0.1:" + listen(socket -> serveDiscovery(text, socket))));
     }
 
-    /** A signal is out before it has taken effect: waits until every thread of the program has stopped. */
+    /** Waits until every thread of the process has stopped, since kill returns before SIGSTOP takes effect. */
     private void awaitStopped() throws Exception {
-        Path threads = Path.of("/proc", Long.toString(router.pid()), "task");
-        boolean stopped = false;
-        while (!stopped) {
-            stopped = true;
-            try (Stream<Path> all = Files.list(threads)) {
-                for (Path thread : (Iterable<Path>) all::iterator) {
+        Path taskDirectory = Path.of("/proc", Long.toString(router.pid()), "task");
+        boolean allStopped = false;
+        while (!allStopped) {
+            allStopped = true;
+            try (Stream<Path> entries = Files.list(taskDirectory)) {
+                for (Path thread : (Iterable<Path>) entries::iterator) {
                     String stat = Files.readString(thread.resolve("stat"));
-                    stopped &= stat.substring(stat.lastIndexOf(')')).startsWith(") T");
+                    allStopped &= stat.substring(stat.lastIndexOf(')')).startsWith(") T");
                 }
             }
         }
     }
 
-    private String address(String server, int port) {
-        addresses.put(server, "127.0.0.1:" + port);
-        return addresses.get(server);
+    private String registerAddress(String server, int port) {
+        serverAddresses.put(server, "127.0.0.1:" + port);
+        return serverAddresses.get(server);
     }
 
     @AfterEach
-    protected void end() throws Exception {
-        for (Closeable c : open) {
-            c.close();
+    protected void closeAll() throws Exception {
+        for (Closeable closeable : closeables) {
+            closeable.close();
         }
         if (router != null) {
             router.destroyForcibly().waitFor();
         }
     }
 
-    // ---- The stage ----
-
     @Override
     public void send(String actor, String text) throws Exception {
         String[] words = text.split(" ", 2);
         if (actor.equals("router")) {
-            if (words.length > 1 && !words[1].equals(configured)) {
-                configured = words[1];
-                configure(configured);
+            if (words.length > 1 && !words[1].equals(configuredDiscovery)) {
+                configuredDiscovery = words[1];
+                configure(configuredDiscovery);
             }
-            signalled = System.nanoTime();
+            signalledAt = System.nanoTime();
             new ProcessBuilder("kill", "-" + words[0], Long.toString(router.pid()))
                     .start()
                     .waitFor();
@@ -191,49 +195,51 @@
                 awaitStopped();
             }
         } else if (actor.startsWith("list")) {
-            for (String server : addresses.keySet()) {
-                text = text.replace("@" + server, addresses.get(server));
+            for (String server : serverAddresses.keySet()) {
+                text = text.replace("@" + server, serverAddresses.get(server));
             }
             write(
-                    current.get(actor),
+                    latestSockets.get(actor),
                     ("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text)
                             .getBytes(StandardCharsets.UTF_8));
         } else if (List.of("r1", "r2", "p").contains(actor)) {
-            if (serverSends(actor, words)) {
+            if (handleServerCommand(actor, words)) {
                 return;
             }
             byte[] body = words[0].equals("row")
                     ? row(words[1])
                     : message('E', ("SERROR\0C" + words[1] + "\0Mno\0\0").getBytes(StandardCharsets.UTF_8));
-            byte[] more = role(actor);
-            if (words[0].equals("part")) { // so many bytes of an answer, then the end, or where it is not whole a reset
-                byte[] all = ByteBuffer.allocate(row("x").length + more.length + 6)
+            byte[] roleMessage = roleMessage(actor);
+            if (words[0].equals("part")) {
+                // Sends that many bytes of an answer, then closes. An odd number that ends within a message is followed
+                // by a reset instead.
+                byte[] bytes = ByteBuffer.allocate(row("x").length + roleMessage.length + 6)
                         .put(row("x"))
-                        .put(more)
+                        .put(roleMessage)
                         .put(READY)
                         .array();
-                Socket server = current.get(actor);
-                int n = Integer.parseInt(words[1]);
-                server.getOutputStream().write(all, 0, n);
-                if (n % 2 == 1 && n != row("x").length && n != row("x").length + more.length) {
+                Socket server = latestSockets.get(actor);
+                int count = Integer.parseInt(words[1]);
+                server.getOutputStream().write(bytes, 0, count);
+                if (count % 2 == 1 && count != row("x").length && count != row("x").length + roleMessage.length) {
                     server.setSoLinger(true, 0);
                 }
                 server.close();
                 return;
             }
-            write(current.get(actor), body, more, READY);
+            write(latestSockets.get(actor), body, roleMessage, READY);
         } else {
             Socket client = clients.get(actor);
-            if (words[0].equals("crowd")) { // many connections that say nothing
-                String[] many = words[1].strip().split(" ", -1);
-                for (int n = Integer.parseInt(many[0]); n > 0; n--) {
-                    crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
-                    open.add(crowd.get(crowd.size() - 1));
-                    if (many.length > 1) {
+            if (words[0].equals("crowd")) { // many connections that stay idle, or begin a message
+                String[] arguments = words[1].strip().split(" ", -1);
+                for (int count = Integer.parseInt(arguments[0]); count > 0; count--) {
+                    idleClients.add(new Socket(InetAddress.getLoopbackAddress(), port));
+                    closeables.add(idleClients.get(idleClients.size() - 1));
+                    if (arguments.length > 1) {
                         write(
-                                crowd.get(crowd.size() - 1),
+                                idleClients.get(idleClients.size() - 1),
                                 startup(),
-                                many[1].equals("talking")
+                                arguments[1].equals("talking")
                                         ? query(";")
                                         : ByteBuffer.allocate(64_000)
                                                 .put((byte) 'Q')
@@ -244,8 +250,8 @@
                 return;
             }
             if (words[0].equals("leave")) {
-                for (Socket one : crowd) {
-                    one.close();
+                for (Socket idleClient : idleClients) {
+                    idleClient.close();
                 }
                 return;
             }
@@ -257,10 +263,10 @@
                 case "startup" -> write(client, startup());
                 case "flood" -> flood(client);
                 case "many" -> {
-                    String[] many = words[1].split(" ", 2);
-                    byte[][] all = new byte[Integer.parseInt(many[0])][];
-                    Arrays.fill(all, query(many.length > 1 ? many[1] : "SELECT 1"));
-                    write(client, all);
+                    String[] arguments = words[1].split(" ", 2);
+                    byte[][] bytes = new byte[Integer.parseInt(arguments[0])][];
+                    Arrays.fill(bytes, query(arguments.length > 1 ? arguments[1] : "SELECT 1"));
+                    write(client, bytes);
                 }
                 case "hex" -> write(client, java.util.HexFormat.of().parseHex(words.length > 1 ? words[1] : ""));
                 case "cancel" ->
@@ -272,14 +278,14 @@
                                     .put(cancelKeys.getOrDefault(words[1], new byte[8]))
                                     .array());
                 case "query" -> write(client, query(words[1]));
-                case "first" -> { // so many bytes of the query that follows; the rest goes out by "rest"
-                    String[] what = words[1].split(" ", 3);
-                    byte[] all = query((what[1].equals("read") ? READ : WRITE).formatted(what[2]));
-                    int cut = Integer.parseInt(what[0]);
-                    write(client, Arrays.copyOf(all, cut));
-                    rests.put(actor, Arrays.copyOfRange(all, cut, all.length));
+                case "first" -> { // that many bytes of the query; "rest" sends the others
+                    String[] arguments = words[1].split(" ", 3);
+                    byte[] bytes = query((arguments[1].equals("read") ? READ : WRITE).formatted(arguments[2]));
+                    int cut = Integer.parseInt(arguments[0]);
+                    write(client, Arrays.copyOf(bytes, cut));
+                    unsentRests.put(actor, Arrays.copyOfRange(bytes, cut, bytes.length));
                 }
-                case "rest" -> write(client, rests.remove(actor));
+                case "rest" -> write(client, unsentRests.remove(actor));
                 case "reset" -> {
                     client.setSoLinger(true, 0);
                     client.close();
@@ -287,9 +293,9 @@
                 case "read" -> write(client, query(READ.formatted(words[1])));
                 case "write" -> write(client, query(WRITE.formatted(words[1])));
                 case "writes" -> {
-                    byte[][] all = new byte[Integer.parseInt(words[1])][];
-                    Arrays.setAll(all, n -> query(WRITE.formatted(n)));
-                    write(client, all);
+                    byte[][] bytes = new byte[Integer.parseInt(words[1])][];
+                    Arrays.setAll(bytes, id -> query(WRITE.formatted(id)));
+                    write(client, bytes);
                 }
                 default -> write(client, query(READ.formatted(words[1])), query(WRITE.formatted(words[1] + "0")));
             }
@@ -297,23 +303,25 @@
     }
 
     /**
-     * Carries out what is no plain answer of a server: {@code hold} keeps further connections from coming up and
-     * {@code welcome} lets the newest and all later ones up, {@code role} changes what it says of itself from now on,
-     * {@code always ROW} answers everything at once from now on, and {@code to ID} answers that request.
+     * Carries out server commands other than plain answers. {@code hold} withholds the greeting from new connections
+     * and {@code welcome} greets the newest and all later ones. {@code role} sets the role that the server reports.
+     * {@code always ROW} answers all further requests at once. {@code to ID} answers the request with that id.
+     *
+     * @return whether the words were such a command
      */
-    private boolean serverSends(String server, String[] words) throws Exception {
+    private boolean handleServerCommand(String server, String[] words) throws Exception {
         switch (words[0]) {
-            case "hold" -> holding.add(server);
+            case "hold" -> heldServers.add(server);
             case "welcome" -> {
-                holding.remove(server);
-                write(current.get(server), GREETING);
+                heldServers.remove(server);
+                write(latestSockets.get(server), GREETING);
             }
-            case "role" -> roles.put(server, words[1]);
-            case "always" -> answersAtOnce.put(server, row(words[1]));
+            case "role" -> serverRoles.put(server, words[1]);
+            case "always" -> automaticAnswers.put(server, row(words[1]));
             case "to" -> {
-                String[] what = words[1].split(" ", 2);
-                current.put(server, current.get(server + "/" + what[0]));
-                send(server, what[1]);
+                String[] arguments = words[1].split(" ", 2);
+                latestSockets.put(server, latestSockets.get(server + "/" + arguments[0]));
+                send(server, arguments[1]);
             }
             default -> {
                 return false;
@@ -322,194 +330,193 @@
         return true;
     }
 
-    private byte[] role(String server) {
-        String role = "server_role\0" + roles.getOrDefault(server, "reader") + "\0";
+    private byte[] roleMessage(String server) {
+        String role = "server_role\0" + serverRoles.getOrDefault(server, "reader") + "\0";
         return message('S', role.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
     public void expect(String actor, String text) throws Exception {
         Socket client = clients.get(actor);
-        if (text.startsWith("later ")) { // so long after the last signal, whatever the router does meanwhile
-            long until = signalled + Long.parseLong(text.substring(6)) * 1_000_000;
-            while (System.nanoTime() < until) {
-                java.util.concurrent.locks.LockSupport.parkNanos(until - System.nanoTime());
+        if (text.startsWith("later ")) { // waits until that many milliseconds after the last signal
+            long deadline = signalledAt + Long.parseLong(text.substring(6)) * 1_000_000;
+            while (System.nanoTime() < deadline) {
+                java.util.concurrent.locks.LockSupport.parkNanos(deadline - System.nanoTime());
             }
             return;
         }
         if (client == null) {
-            BlockingQueue<String> of = heard.computeIfAbsent(actor, a -> new LinkedBlockingQueue<>());
+            BlockingQueue<String> received = receivedByActor.computeIfAbsent(actor, a -> new LinkedBlockingQueue<>());
             if (text.equals("nothing")) {
-                assertEquals(null, of.peek());
+                assertEquals(null, received.peek());
                 return;
             }
-            String next = of.poll(PATIENCE_S, TimeUnit.SECONDS);
-            assertNotNull(next, "nothing came");
-            boolean begins = text.endsWith("*") && next.startsWith(text.substring(0, text.length() - 1));
-            assertEquals(begins ? next : text, next);
+            String next = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            assertNotNull(next, "nothing was received in time");
+            boolean matchesPrefix = text.endsWith("*") && next.startsWith(text.substring(0, text.length() - 1));
+            assertEquals(matchesPrefix ? next : text, next);
             return;
         }
-        DataInputStream in = new DataInputStream(client.getInputStream());
+        DataInputStream input = new DataInputStream(client.getInputStream());
         if (text.equals("end")) {
-            assertEquals(-1, in.read());
+            assertEquals(-1, input.read());
         } else if (text.startsWith("byte ")) {
-            assertEquals(text.charAt(5), in.read());
+            assertEquals(text.charAt(5), input.read());
         } else if (text.contains(" errors ")) {
-            for (int n = Integer.parseInt(text.split(" ", -1)[0]); n > 0; n--) {
-                assertEquals("error " + text.split(" ", -1)[2], answer(actor, in));
+            for (int remaining = Integer.parseInt(text.split(" ", -1)[0]); remaining > 0; remaining--) {
+                assertEquals("error " + text.split(" ", -1)[2], readAnswer(actor, input));
             }
         } else {
-            assertEquals(text, answer(actor, in));
+            assertEquals(text, readAnswer(actor, input));
         }
     }
 
-    /** A new connection to the program, on which reads give up when the test's patience is over. */
+    /** Opens a connection to the router, on which reads fail after {@link #TIMEOUT_SECONDS}. */
     protected Socket connect() throws IOException {
         return connect(new Socket());
     }
 
-    /** Connects a socket whose buffers may have been set. */
+    /** Connects a socket, whose buffer sizes the caller may have set. */
     protected Socket connect(Socket client) throws IOException {
         client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        client.setSoTimeout((int) (PATIENCE_S * 1000));
-        open.add(client);
+        client.setSoTimeout((int) (TIMEOUT_SECONDS * 1000));
+        closeables.add(client);
         return client;
     }
 
-    /** Sends a message said to have 60 MB as fast as it is taken, on and on until the other side has had enough. */
+    /** Sends a message with a declared length of 60 MB as fast as possible, until the other side closes. */
     private static void flood(Socket client) throws IOException {
         write(client, java.util.HexFormat.of().parseHex("5103938700"));
-        background(() -> {
-            byte[] some = new byte[1 << 16];
-            for (int n = 0; n < 900; n++) {
-                client.getOutputStream().write(some);
+        runInBackground(() -> {
+            byte[] chunk = new byte[1 << 16];
+            for (int sent = 0; sent < 900; sent++) {
+                client.getOutputStream().write(chunk);
             }
         });
     }
 
-    /** What an actor without a connection of its own has heard and nobody has expected yet. */
-    protected List<String> heardBy(String actor) {
-        return List.copyOf(heard.getOrDefault(actor, new LinkedBlockingQueue<>()));
+    /** Returns what an actor other than a client has received and no step has expected yet. */
+    protected List<String> unexpectedMessagesOf(String actor) {
+        return List.copyOf(receivedByActor.getOrDefault(actor, new LinkedBlockingQueue<>()));
     }
 
-    /** What one whole answer says, up to ReadyForQuery or a fatal error. */
-    protected String answer(String actor, DataInputStream in) throws IOException {
-        String said = "ready";
+    /** Reads one answer, up to ReadyForQuery or a fatal error, and returns a summary of it. */
+    protected String readAnswer(String actor, DataInputStream input) throws IOException {
+        String summary = "ready";
         while (true) {
-            char type = (char) in.readByte();
-            String body = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.ISO_8859_1);
+            char type = (char) input.readByte();
+            String body = new String(input.readNBytes(input.readInt() - 4), StandardCharsets.ISO_8859_1);
             switch (type) {
                 case 'K' -> cancelKeys.put(actor, body.getBytes(StandardCharsets.ISO_8859_1));
-                case 'I' -> said = "empty";
-                case 'D' -> said = "row " + body.substring(6);
+                case 'I' -> summary = "empty";
+                case 'D' -> summary = "row " + body.substring(6);
                 case 'E' ->
-                    said = (body.startsWith("SFATAL") ? "fatal " : "error ")
+                    summary = (body.startsWith("SFATAL") ? "fatal " : "error ")
                             + body.substring(body.indexOf("\0C") + 2, body.indexOf("\0M"));
                 default -> {}
             }
-            if (type == 'Z' || said.startsWith("fatal")) {
-                return said;
+            if (type == 'Z' || summary.startsWith("fatal")) {
+                return summary;
             }
         }
     }
 
     @Override
     public void close(String actor) throws Exception {
-        Socket socket = clients.containsKey(actor) ? clients.remove(actor) : current.get(actor);
+        Socket socket = clients.containsKey(actor) ? clients.remove(actor) : latestSockets.get(actor);
         socket.close();
     }
 
     @Override
     public void pass(long millis) {
-        throw new IllegalArgumentException("real time is waited for by what is expected, not by the clock");
+        throw new IllegalArgumentException("wait is not supported here; scenarios in real time wait by expect steps");
     }
 
-    // ---- Peers ----
-
-    private interface Work<T> {
-        void on(T what) throws Exception;
+    private interface ConnectionHandler<T> {
+        void handle(T what) throws Exception;
     }
 
-    private interface Loop {
+    private interface Task {
         void run() throws Exception;
     }
 
-    private int listen(Work<Socket> peer) throws IOException {
+    private int listen(ConnectionHandler<Socket> handler) throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        accept(listener, peer);
+        accept(listener, handler);
         return listener.getLocalPort();
     }
 
-    /** Plays a server's part on all connections to a listener from now on. */
+    /** Serves all connections to a listener as the given scripted server. */
     protected void accept(ServerSocket listener, String server) {
-        accept(listener, socket -> serve(server, socket));
+        accept(listener, socket -> serveConnection(server, socket));
     }
 
-    private void accept(ServerSocket listener, Work<Socket> peer) {
-        open.add(listener);
-        background(() -> {
+    private void accept(ServerSocket listener, ConnectionHandler<Socket> handler) {
+        closeables.add(listener);
+        runInBackground(() -> {
             while (true) {
                 Socket socket = listener.accept();
-                open.add(socket);
-                background(() -> peer.on(socket));
+                closeables.add(socket);
+                runInBackground(() -> handler.handle(socket));
             }
         });
     }
 
-    private static void background(Loop loop) {
+    private static void runInBackground(Task task) {
         Thread thread = new Thread(() -> {
             try {
-                loop.run();
-            } catch (Exception e) {
-                // the connection has ended, as it does at the end of every scenario
+                task.run();
+            } catch (Exception ignored) {
+                // the connection was closed, as at the end of every scenario
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void hear(String actor, String what) {
-        heard.computeIfAbsent(actor, a -> new LinkedBlockingQueue<>()).add(what);
+    private void recordReceived(String actor, String message) {
+        receivedByActor.computeIfAbsent(actor, a -> new LinkedBlockingQueue<>()).add(message);
     }
 
-    private void serve(String name, Socket socket) throws IOException {
-        DataInputStream in = new DataInputStream(socket.getInputStream());
-        in.readNBytes(in.readInt() - 4);
-        if (holding.contains(name)) {
-            current.put(name, socket);
-            hear(name, "connect");
+    private void serveConnection(String name, Socket socket) throws IOException {
+        DataInputStream input = new DataInputStream(socket.getInputStream());
+        input.readNBytes(input.readInt() - 4);
+        if (heldServers.contains(name)) {
+            latestSockets.put(name, socket);
+            recordReceived(name, "connect");
         } else {
             write(socket, GREETING);
         }
-        while (in.readByte() == 'Q') {
-            String text = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8);
-            current.put(name, socket);
+        while (input.readByte() == 'Q') {
+            String text = new String(input.readNBytes(input.readInt() - 4), StandardCharsets.UTF_8);
+            latestSockets.put(name, socket);
             String id = text.substring(text.indexOf("id=") + 3, text.indexOf(",c="));
-            current.put(name + "/" + id, socket);
-            byte[] atOnce = answersAtOnce.get(name);
+            latestSockets.put(name + "/" + id, socket);
+            byte[] atOnce = automaticAnswers.get(name);
             if (atOnce != null) {
-                write(socket, atOnce, role(name), READY);
+                write(socket, atOnce, roleMessage(name), READY);
             }
-            hear(name, (text.startsWith("SELECT") ? "read " : "write ") + id);
+            recordReceived(name, (text.startsWith("SELECT") ? "read " : "write ") + id);
         }
     }
 
-    private void discover(String name, Socket socket) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+    private void serveDiscovery(String name, Socket socket) throws IOException {
+        BufferedReader input =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
         String line;
-        while ((line = in.readLine()) != null) {
+        while ((line = input.readLine()) != null) {
             if (line.startsWith("GET")) {
-                current.put(name, socket);
-                hear(name, line.replace(" HTTP/1.1", "").replaceFirst("hold_ms=[1-9]\\d*", "hold_ms=WAIT"));
+                latestSockets.put(name, socket);
+                recordReceived(name, line.replace(" HTTP/1.1", "").replaceFirst("hold_ms=[1-9]\\d*", "hold_ms=WAIT"));
             }
         }
     }
 
     protected static void write(Socket socket, byte[]... parts) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+        ByteArrayOutputStream message = new ByteArrayOutputStream();
         for (byte[] part : parts) {
-            all.write(part);
+            message.write(part);
         }
-        socket.getOutputStream().write(all.toByteArray());
+        socket.getOutputStream().write(message.toByteArray());
     }
 }
--- a/router/src/test/java/stoatrill/settings/SettingsTest.java
+++ b/router/src/test/java/stoatrill/settings/SettingsTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void wordsStringsCommentsAndBlocksKeepTheirPlaces() throws Exception {
+    void parsesWordsStringsCommentsAndBlocksWithPositions() throws Exception {
         Block block = SettingsFile.parse("f", "a b \"c # \\\"d\\\"\" # e\n\npool x {\n  size 3\n}\n");
         assertEquals(
                 List.of("b", "c # \"d\""),
@@ -42,7 +42,7 @@
         "COUNT,12,12",
         "NUMBER,2.4,2400"
     })
-    void quantitiesAreExact(Quantity kind, String text, long value) {
+    void parsesAndFormatsQuantitiesExactly(Quantity kind, String text, long value) {
         assertEquals(value, kind.parse(text));
         assertEquals(value, kind.parse(kind.format(value)));
     }
@@ -65,12 +65,12 @@
                 "pool {|f:1:6: the block \"pool\" is not closed; add a line with '}'",
                 "{|f:1:1: a block needs a name before its '{'"
             })
-    void errorsSayWhereAndWhatToWrite(String text, String problem) {
+    void errorsNamePositionAndCorrection(String text, String problem) {
         assertEquals(problem, problems(text).get(0));
     }
 
     @Test
-    void allErrorsOfAFileAreSaidAtOnce() {
+    void reportsAllErrorsOfAFileAtOnce() {
         assertEquals(
                 List.of(
                         "f:2:7: \"x\" is not a whole number; write for example 12",
