--- a/lab/src/main/java/stoatrill/lab/policy/PlainPolicy.java
+++ b/lab/src/main/java/stoatrill/lab/policy/PlainPolicy.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 import stoatrill.Gateway;
+import stoatrill.Gateway.Consistency;
+import stoatrill.Gateway.ListEntry;
 import stoatrill.Gateway.ListKind;
-import stoatrill.Gateway.Member;
-import stoatrill.Gateway.Need;
+import stoatrill.Gateway.ListedState;
 import stoatrill.Gateway.Report;
 import stoatrill.Gateway.RequestClass;
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
 import stoatrill.Gateway.Settings;
-import stoatrill.Gateway.State;
 import stoatrill.standins.model.Seeds;
 
 /**
@@ -95,8 +95,8 @@
         List<Server> members = groups.getOrDefault(r.group, List.of());
         Server primary = primary(r.group, members);
         Server to = null;
-        if (r.kind.need() == Need.ANY || r.kind.need() == Need.BOUNDED) {
-            long oldest = r.kind.need() == Need.BOUNDED ? now - r.kind.bound() : Long.MIN_VALUE;
+        if (r.kind.consistency() == Consistency.ANY || r.kind.consistency() == Consistency.BOUNDED) {
+            long oldest = r.kind.consistency() == Consistency.BOUNDED ? now - r.kind.maxStaleness() : Long.MIN_VALUE;
             List<Server> fit = new ArrayList<>();
             for (Server s : members) {
                 if (s.usable
@@ -114,7 +114,7 @@
         if (to == null && primary != null && primary.usable && !r.tried.contains(primary.id)) {
             to = primary;
         }
-        if (to == null || r.sent >= settings.limits().attempts() || now >= r.deadline || tooLate(r.kind, to)) {
+        if (to == null || r.sent >= settings.limits().maxAttempts() || now >= r.deadline || tooLate(r.kind, to)) {
             open.remove(id);
             out.refuse(id, 0);
             return;
@@ -122,33 +122,33 @@
         r.sent++;
         r.tried.add(to.id);
         to.inFlight++;
-        out.send(id, to.id, 0);
+        out.sendAttempt(id, to.id, 0);
     }
 
     @Override
-    public void members(long at, ListKind kind, List<Member> list) {
+    public void onServerList(long at, ListKind kind, List<ListEntry> list) {
         now = at;
         if (!started) {
             started = true;
-            out.follow(true);
+            out.watchServerList(true);
         }
         if (kind == ListKind.SILENT) {
             return;
         }
         if (kind == ListKind.FAILED) {
-            out.timer(RETRY_LIST, LIST);
+            out.startTimer(RETRY_LIST, LIST);
             return;
         }
-        for (Member m : list) {
+        for (ListEntry m : list) {
             Server s = servers.computeIfAbsent(m.server(), Server::new);
             s.zone = m.zone();
             s.group = m.group();
-            s.usable = m.state() == State.READY;
+            s.usable = m.state() == ListedState.READY;
             List<Server> group = groups.computeIfAbsent(m.group(), g -> new ArrayList<>());
             if (!group.contains(s)) {
                 group.add(s);
             }
-            if (m.primary() && s.usable) {
+            if (m.isPrimary() && s.usable) {
                 primaries.put(m.group(), s);
             }
         }
@@ -160,17 +160,17 @@
     }
 
     @Override
-    public void request(
+    public void onRequest(
             long at, long id, long key, int group, long deadline, long tokenAge, boolean repeat, int kind, int tenant) {
         now = at;
         Open r = new Open(settings.classes().get(kind), group, deadline);
         open.put(id, r);
-        out.timer(Math.max(0, deadline - now - settings.tick()), id);
+        out.startTimer(Math.max(0, deadline - now - settings.tick()), id);
         route(id, r);
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long at,
             long id,
             int attempt,
@@ -195,7 +195,7 @@
         Open r = open.get(id);
         if (over || r == null) {
             open.remove(id);
-        } else if (result.certain || r.kind.effect() == Gateway.Effect.SAFE) {
+        } else if (result.isCertain || r.kind.idempotency() == Gateway.Idempotency.SAFE) {
             route(id, r);
         } else {
             open.remove(id);
@@ -204,15 +204,15 @@
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void onTimer(long at, long token) {
         now = at;
         if (token == LIST) {
-            out.follow(true);
+            out.watchServerList(true);
             return;
         }
         Open r = open.remove(token);
         if (r != null) {
-            if (r.sent == 0 || r.kind.effect() == Gateway.Effect.SAFE) {
+            if (r.sent == 0 || r.kind.idempotency() == Gateway.Idempotency.SAFE) {
                 out.refuse(token, 0);
             } else {
                 out.fail(token);
@@ -221,21 +221,21 @@
     }
 
     @Override
-    public void left(long at, long id) {
+    public void onClientLeft(long at, long id) {
         open.remove(id);
     }
 
     @Override
-    public void listMoved(long at) {
-        out.follow(true);
+    public void onDiscoveryMoved(long at) {
+        out.watchServerList(true);
     }
 
     @Override
-    public void begun(long at, long id, int attempt, long server) {}
+    public void onAnswerBegun(long at, long id, int attempt, long server) {}
 
     @Override
-    public void probed(long at, long server, long took, Result result, Report report) {}
+    public void onProbeEnded(long at, long server, long took, Result result, Report report) {}
 
     @Override
-    public void peer(long at, int from, byte[] message) {}
+    public void onPeerMessage(long at, int from, byte[] message) {}
 }
--- a/lab/src/main/java/stoatrill/lab/scale/faketime/ModelRouter.java
+++ b/lab/src/main/java/stoatrill/lab/scale/faketime/ModelRouter.java
@@ -74,7 +74,7 @@
                 0.1,
                 new Gateway.Limits(true, true, false, true, true, 8, SECOND),
                 new Gateway.Rules(8 * MILLI, 10 * SECOND, 2 * SECOND, 0.3, 12 * SECOND, 3, SECOND, true),
-                new Gateway.Replication(Gateway.Check.NONE, 0, true, false, Gateway.ListedRole.LATE, true),
+                new Gateway.Replication(Gateway.StalenessCheck.NONE, 0, true, false, Gateway.ListedRole.DELAYED, true),
                 List.of(),
                 List.of());
     }
--- a/lab/src/main/java/stoatrill/lab/scale/hollow/Awaited.java
+++ b/lab/src/main/java/stoatrill/lab/scale/hollow/Awaited.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import stoatrill.Gateway.ListKind;
-import stoatrill.Gateway.State;
+import stoatrill.Gateway.ListedState;
 import stoatrill.core.ServerEntry;
 
 /** What a router has still to be told before it knows of a change, or of a whole list. Used by one thread. */
@@ -16,7 +16,7 @@
     private static final String PRIMARY = "writer";
 
     /** What the list will say of a server. */
-    private record Expected(State state, boolean primary) {
+    private record Expected(ListedState state, boolean primary) {
         boolean met(ServerEntry entry) {
             return entry.state() == state && entry.primary() == primary;
         }
@@ -38,11 +38,11 @@
         }
         for (String entry : text.split(",", -1)) {
             String[] parts = entry.split(":", -1);
-            State state =
+            ListedState state =
                     switch (parts[1]) {
-                        case "Terminating" -> State.DRAINING;
-                        case "Gone" -> State.GONE;
-                        default -> State.READY;
+                        case "Terminating" -> ListedState.DRAINING;
+                        case "Gone" -> ListedState.GONE;
+                        default -> ListedState.READY;
                     };
             awaited.entries.put(parts[0], new Expected(state, parts[2].equals(PRIMARY)));
         }
@@ -58,7 +58,7 @@
             wholeList = false;
             Set<String> all = new HashSet<>();
             heard.forEach(entry -> all.add(entry.uid()));
-            entries.entrySet().removeIf(e -> e.getValue().state() == State.GONE && !all.contains(e.getKey()));
+            entries.entrySet().removeIf(e -> e.getValue().state() == ListedState.GONE && !all.contains(e.getKey()));
         }
         for (ServerEntry entry : heard) {
             Expected expected = entries.get(entry.uid());
--- a/lab/src/main/java/stoatrill/lab/world/Clients.java
+++ b/lab/src/main/java/stoatrill/lab/world/Clients.java
@@ -6,7 +6,7 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import stoatrill.Gateway.Need;
+import stoatrill.Gateway.Consistency;
 import stoatrill.lab.load.Arrivals;
 import stoatrill.lab.load.Trace;
 import stoatrill.standins.model.Seeds;
@@ -194,7 +194,7 @@
             return;
         }
         // An upload with an unknown outcome is not repeated by its client either.
-        boolean unsure = plan.kinds.get(r.kind).need() == Need.WRITE
+        boolean unsure = plan.kinds.get(r.kind).need() == Consistency.WRITE
                 && (end == Tally.End.FAILED || end == Tally.End.ROUTER_LOST);
         if (r.tries >= mostTries || unsure || end == Tally.End.INVALID) {
             world.tally.given(r, heard);
--- a/lab/src/main/java/stoatrill/lab/world/Plan.java
+++ b/lab/src/main/java/stoatrill/lab/world/Plan.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import stoatrill.Gateway.Effect;
-import stoatrill.Gateway.Need;
+import stoatrill.Gateway.Consistency;
+import stoatrill.Gateway.Idempotency;
 import stoatrill.contract.Contracts;
 import stoatrill.lab.load.Range;
 import stoatrill.lab.load.Trace;
@@ -31,10 +31,10 @@
             long giveUp,
             double worth,
             double lateWorth,
-            Need need,
+            Consistency need,
             long age) {
-        Effect effect() {
-            return need == Need.WRITE ? Effect.UNSAFE : Effect.SAFE;
+        Idempotency effect() {
+            return need == Consistency.WRITE ? Idempotency.UNSAFE : Idempotency.SAFE;
         }
     }
 
@@ -159,10 +159,19 @@
                     600 * MS,
                     1,
                     0,
-                    Need.BOUNDED,
+                    Consistency.BOUNDED,
                     300 * MS));
             p.kinds.add(new Kind(
-                    "archive-read", 0.459, new Range(25 * MS, 43 * MS), 0.3, 150 * MS, 500 * MS, 1, 0.2, Need.ANY, 0));
+                    "archive-read",
+                    0.459,
+                    new Range(25 * MS, 43 * MS),
+                    0.3,
+                    150 * MS,
+                    500 * MS,
+                    1,
+                    0.2,
+                    Consistency.ANY,
+                    0));
             p.kinds.add(new Kind(
                     "reading-upload",
                     0.061,
@@ -172,7 +181,7 @@
                     3 * S,
                     6,
                     0.3,
-                    Need.WRITE,
+                    Consistency.WRITE,
                     0));
         }
         whole(file, "class", p.kinds.stream().mapToDouble(Kind::share).sum());
@@ -297,7 +306,7 @@
     }
 
     private static Kind kind(Reader in, String name) {
-        Need need = in.word("reads", Need.class, Need.ANY);
+        Consistency need = in.word("reads", Consistency.class, Consistency.ANY);
         return new Kind(
                 name,
                 in.share("share", 0, 1, 0),
--- a/lab/src/main/java/stoatrill/lab/world/ServiceList.java
+++ b/lab/src/main/java/stoatrill/lab/world/ServiceList.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import stoatrill.Gateway.ListKind;
-import stoatrill.Gateway.State;
+import stoatrill.Gateway.ListedState;
 import stoatrill.core.ServerEntry;
 import stoatrill.standins.model.Scheduler;
 
@@ -45,7 +45,7 @@
     }
 
     /** Something about a node has changed; the list shows it some time later. */
-    void state(String uid, State state, long bootMillis) {
+    void state(String uid, ListedState state, long bootMillis) {
         time.at(time.now() + (long) plan.listNotice.draw(random), () -> {
             ServerEntry e = shown.get(uid);
             if (e == null) {
--- a/lab/src/main/java/stoatrill/lab/world/SimRouter.java
+++ b/lab/src/main/java/stoatrill/lab/world/SimRouter.java
@@ -8,11 +8,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import stoatrill.Gateway.Consistency;
 import stoatrill.Gateway.ListKind;
-import stoatrill.Gateway.Need;
+import stoatrill.Gateway.ListedState;
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
-import stoatrill.Gateway.State;
 import stoatrill.core.Answer;
 import stoatrill.core.Break;
 import stoatrill.core.ClientRequest;
@@ -218,7 +218,7 @@
                 wait,
                 0,
                 t.request.tries > 1,
-                kind.need() == Need.WRITE,
+                kind.need() == Consistency.WRITE,
                 t);
         if (world.plan.contracts != null && !world.plan.teams.isEmpty()) {
             asked = asked.by(world.plan.teams.get(t.request.team).name());
@@ -244,7 +244,7 @@
         } else if (answer instanceof Answer.Refused refused) {
             end = t.attempts == 0 ? Tally.End.REFUSED_AT_ONCE : Tally.End.REFUSED_LATER;
             comeBack = refused.comeBackMillis() * MS;
-            if (t.maybeRan && world.plan.kinds.get(t.request.kind).need() == Need.WRITE) {
+            if (t.maybeRan && world.plan.kinds.get(t.request.kind).need() == Consistency.WRITE) {
                 world.broken(Audit.Rule.ONCE, id, -1, t.request.id);
             }
         } else {
@@ -316,7 +316,7 @@
         world.tally.attempts++;
         world.meter().sent(c.node);
         world.tally.crossings += world.zone(c.node) == zone ? 0 : 1;
-        boolean write = world.plan.kinds.get(t.request.kind).need() == Need.WRITE;
+        boolean write = world.plan.kinds.get(t.request.kind).need() == Consistency.WRITE;
         double work = world.attemptWork(t.request);
         long mine = life;
         later.add(() -> reducer.written(connection));
@@ -367,11 +367,11 @@
         if (off != null && now > off + world.plan.drainGrace + ANSWER_SLACK) {
             world.broken(Audit.Rule.DRAIN, id, node.id, t.request.id);
         }
-        if (kind.need() == Need.WRITE && t.maybeRan) {
+        if (kind.need() == Consistency.WRITE && t.maybeRan) {
             world.broken(Audit.Rule.ONCE, id, node.id, t.request.id);
         }
         boolean answers = node.reachable() || node.state() == Node.State.HUNG; // what never answers is never stale
-        if (kind.need() != Need.BOUNDED || !answers || node.position() >= now - kind.age() - STALE_SLACK) {
+        if (kind.need() != Consistency.BOUNDED || !answers || node.position() >= now - kind.age() - STALE_SLACK) {
             return false;
         }
         boolean excused = world.wasPrimary(node) && !toldReplica.get(node.id);
@@ -450,7 +450,7 @@
         for (ServerEntry e : entries) {
             held.put(e.uid(), e);
             Node node = world.node(e.endpoint());
-            if (e.state() == State.READY) {
+            if (e.state() == ListedState.READY) {
                 toldOff.remove(node.id);
             } else {
                 toldOff.putIfAbsent(node.id, now);
--- a/lab/src/main/java/stoatrill/lab/world/Tally.java
+++ b/lab/src/main/java/stoatrill/lab/world/Tally.java
@@ -170,10 +170,10 @@
         for (int i = 0; i < teams.size(); i++) {
             int place = contracts == null || teams.get(i).jump() == 1
                     ? -1
-                    : contracts.place(teams.get(i).name());
-            if (place >= 0 && contracts.all().get(place).perDay() > 0) {
+                    : contracts.indexOf(teams.get(i).name());
+            if (place >= 0 && contracts.all().get(place).requestsPerDay() > 0) {
                 Contract c = contracts.all().get(place);
-                double promised = c.perDay() / 86_400.0 * teams.get(i).jumpFor() / 1e9;
+                double promised = c.requestsPerDay() / 86_400.0 * teams.get(i).jumpFor() / 1e9;
                 most = Math.max(most, servedInJump[i] / promised);
             }
         }
--- a/lab/src/main/java/stoatrill/lab/world/World.java
+++ b/lab/src/main/java/stoatrill/lab/world/World.java
@@ -14,11 +14,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import stoatrill.Gateway;
-import stoatrill.Gateway.Need;
+import stoatrill.Gateway.Consistency;
+import stoatrill.Gateway.ListedState;
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
 import stoatrill.Gateway.Settings;
-import stoatrill.Gateway.State;
 import stoatrill.core.ServerAnswer;
 import stoatrill.core.ServerEntry;
 import stoatrill.lab.load.Arrivals;
@@ -113,7 +113,9 @@
         double writes = 0;
         for (int i = 0; i < plan.kinds.size(); i++) {
             work += plan.kinds.get(i).share() * meanWork[i];
-            writes += plan.kinds.get(i).need() == Need.WRITE ? plan.kinds.get(i).share() : 0;
+            writes += plan.kinds.get(i).need() == Consistency.WRITE
+                    ? plan.kinds.get(i).share()
+                    : 0;
         }
         double full = capacity * 1e9 / work; // requests a second
         double drawnLoad = plan.load.draw(day);
@@ -193,7 +195,7 @@
             for (int i = g; i < plan.nodes; i += plan.groups) {
                 group.add(nodes.get(i), false);
                 list.begin(new ServerEntry(
-                        uid(i), endpoint(i), plan.zones.get(zoneOf[i]), "std", g, 1, 0, i == g, State.READY));
+                        uid(i), endpoint(i), plan.zones.get(zoneOf[i]), "std", g, 1, 0, i == g, ListedState.READY));
             }
             ledBy[g] = group.primary();
             wasPrimary.set(group.primary().id);
@@ -321,7 +323,7 @@
                         true,
                         n -> {
                             n.drain();
-                            list.state(uid(n.id), State.DRAINING, 0);
+                            list.state(uid(n.id), ListedState.DRAINING, 0);
                             time.at(time.now() + extra, () -> crash(n));
                         },
                         this::restart);
@@ -381,14 +383,14 @@
 
     private void crash(Node n) {
         n.stop(Node.State.DOWN);
-        list.state(uid(n.id), State.GONE, 0);
+        list.state(uid(n.id), ListedState.GONE, 0);
         time.at(time.now() + near, () -> routers.forEach(r -> r.reset(n)));
     }
 
     private void restart(Node n) {
         n.start();
         if (n.state() == Node.State.UP) {
-            list.state(uid(n.id), State.READY, time.now() / MS);
+            list.state(uid(n.id), ListedState.READY, time.now() / MS);
         }
     }
 
@@ -420,9 +422,9 @@
                 1,
                 time.now() / MS,
                 false,
-                State.READY));
+                ListedState.READY));
         old.drain();
-        list.state(uid(old.id), State.DRAINING, 0);
+        list.state(uid(old.id), ListedState.DRAINING, 0);
         time.at(time.now() + drain, () -> {
             crash(old);
             old.group().remove(old);
@@ -431,7 +433,7 @@
 
     private void fellOver(Node n) {
         broken(Audit.Rule.COLD, -1, n.id, -1);
-        list.state(uid(n.id), State.GONE, 0);
+        list.state(uid(n.id), ListedState.GONE, 0);
         time.at(time.now() + near, () -> routers.forEach(r -> r.reset(n)));
     }
 
@@ -560,9 +562,9 @@
                         k.worth(),
                         k.lateWorth(),
                         k.need(),
-                        k.need() == Need.BOUNDED ? k.age() : 0,
+                        k.need() == Consistency.BOUNDED ? k.age() : 0,
                         k.effect(),
-                        Gateway.Scope.ALL,
+                        Gateway.DeduplicationScope.ALL,
                         0,
                         false))
                 .toList();
@@ -576,7 +578,7 @@
                 new Gateway.Limits(true, plan.probes, false, true, true, plan.attempts, S),
                 new Gateway.Rules(
                         8 * MS, 10 * S, plan.drainGrace, coldFrom, warm, plan.tipMultiple, plan.tipAfter, true),
-                new Gateway.Replication(Gateway.Check.NONE, 0, true, false, Gateway.ListedRole.LATE, true),
+                new Gateway.Replication(Gateway.StalenessCheck.NONE, 0, true, false, Gateway.ListedRole.DELAYED, true),
                 classes,
                 List.of());
     }
--- a/lab/src/test/java/stoatrill/lab/rig/PlantedBugTest.java
+++ b/lab/src/test/java/stoatrill/lab/rig/PlantedBugTest.java
@@ -25,9 +25,9 @@
 @Timeout(240)
 class PlantedBugTest {
     private static final String GUARD =
-            "if (firstUncertainAt == NONE || request.requestClass.effect() == Effect.SAFE) {";
+            "if (firstUncertainAt == NONE || request.requestClass.idempotency() == Idempotency.SAFE) {";
 
-    private static final String BOUND = "? now - request.requestClass.bound()";
+    private static final String BOUND = "? now - request.requestClass.maxStaleness()";
 
     private static final String ANSWERED = "if (reply.slot == slot && reply.bytes == null) {";
 
@@ -137,7 +137,8 @@
 
     @Test
     void aReadWhoseBoundIsIgnoredIsCaughtAsStale(@TempDir Path dir) throws Exception {
-        RunLine planted = planted(dir, "stoatrill/Decide.java", BOUND, "? now - 1_000 * request.requestClass.bound()");
+        RunLine planted =
+                planted(dir, "stoatrill/Decide.java", BOUND, "? now - 1_000 * request.requestClass.maxStaleness()");
         caught(dir, planted, PlantedBugTest::lagging, Checker.Verdict::stale);
     }
 
--- a/lab/src/test/java/stoatrill/lab/world/FleetBoundsTest.java
+++ b/lab/src/test/java/stoatrill/lab/world/FleetBoundsTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stoatrill.Decide;
 import stoatrill.Gateway;
+import stoatrill.Gateway.ListEntry;
 import stoatrill.Gateway.ListKind;
-import stoatrill.Gateway.Member;
 import stoatrill.lab.policy.Policy;
 
 /**
@@ -88,11 +88,11 @@
         List<Long> servers = new ArrayList<>();
         long[] last = {0};
         return around(new Decide(out, sight.settings(), sight.seed()), (name, args) -> {
-            if (name.equals("members")) {
-                ((List<?>) args[2]).forEach(m -> servers.add(((Member) m).server()));
-            } else if (name.equals("timer") && (long) args[0] - last[0] > 100_000_000L) {
+            if (name.equals("onServerList")) {
+                ((List<?>) args[2]).forEach(m -> servers.add(((ListEntry) m).server()));
+            } else if (name.equals("onTimer") && (long) args[0] - last[0] > 100_000_000L) {
                 last[0] = (long) args[0];
-                servers.forEach(out::probe);
+                servers.forEach(out::probeServer);
             }
             return true;
         });
@@ -110,9 +110,9 @@
                 OVERBOOKED,
                 HERD,
                 (out, sight) -> around(new Decide(out, sight.settings(), sight.seed()), (name, args) -> {
-                    boolean failed = name.equals("members") && args[1] == ListKind.FAILED;
+                    boolean failed = name.equals("onServerList") && args[1] == ListKind.FAILED;
                     if (failed) {
-                        out.follow(true);
+                        out.watchServerList(true);
                     }
                     return !failed;
                 }));
@@ -149,18 +149,18 @@
                     FRAIL,
                     REPLACED,
                     (out, sight) -> around(new Decide(out, sight.settings(), sight.seed()), (name, args) -> {
-                        if (name.equals("members")) {
+                        if (name.equals("onServerList")) {
                             args[2] = ((List<?>) args[2])
                                     .stream()
-                                            .map(Member.class::cast)
-                                            .map(m -> new Member(
+                                            .map(ListEntry.class::cast)
+                                            .map(m -> new ListEntry(
                                                     m.server(),
                                                     m.group(),
                                                     m.zone(),
                                                     m.model(),
-                                                    m.size(),
+                                                    m.relativeCapacity(),
                                                     0,
-                                                    m.primary(),
+                                                    m.isPrimary(),
                                                     m.state()))
                                             .toList();
                         }
--- a/lab/src/test/java/stoatrill/lab/world/ServesSomebodyTest.java
+++ b/lab/src/test/java/stoatrill/lab/world/ServesSomebodyTest.java
@@ -79,7 +79,7 @@
                 Gateway.class.getClassLoader(), new Class<?>[] {Gateway.class}, (proxy, method, args) -> {
                     if (method.getName().equals("refuse")) {
                         own.refused();
-                    } else if (method.getName().equals("send")) {
+                    } else if (method.getName().equals("sendAttempt")) {
                         own.refused = 0;
                     }
                     return method.invoke(out, args);
@@ -91,7 +91,7 @@
         return (Gateway.Events) Proxy.newProxyInstance(
                 Gateway.class.getClassLoader(), new Class<?>[] {Gateway.Events.class}, (proxy, method, args) -> {
                     own.now = (long) args[0];
-                    own.asked += method.getName().equals("request") ? 1 : 0;
+                    own.asked += method.getName().equals("onRequest") ? 1 : 0;
                     return method.invoke(module, args);
                 });
     }
@@ -127,7 +127,7 @@
                     Gateway.class.getClassLoader(), new Class<?>[] {Gateway.Events.class}, (proxy, method, args) -> {
                         first[0] = first[0] < 0 ? (long) args[0] : first[0];
                         boolean early = (long) args[0] - first[0] < 2 * MOST_SPAN;
-                        if (bad && early && method.getName().equals("request")) {
+                        if (bad && early && method.getName().equals("onRequest")) {
                             out.refuse((long) args[1], 0);
                             return null;
                         }
--- a/lab/src/test/java/stoatrill/lab/world/WorldTest.java
+++ b/lab/src/test/java/stoatrill/lab/world/WorldTest.java
@@ -8,8 +8,8 @@
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
 import stoatrill.Gateway;
+import stoatrill.Gateway.ListEntry;
 import stoatrill.Gateway.ListKind;
-import stoatrill.Gateway.Member;
 import stoatrill.Gateway.Report;
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
@@ -113,7 +113,7 @@
     private static final class Saboteur implements Gateway.Events {
         private final Gateway out;
         private final String how;
-        private List<Member> members = List.of();
+        private List<ListEntry> members = List.of();
 
         Saboteur(Gateway out, String how) {
             this.out = out;
@@ -122,38 +122,39 @@
 
         private long one(boolean primary) {
             return members.stream()
-                    .filter(m -> m.primary() == primary)
+                    .filter(m -> m.isPrimary() == primary)
                     .findFirst()
                     .orElseThrow()
                     .server();
         }
 
         @Override
-        public void request(
+        public void onRequest(
                 long now, long id, long key, int group, long deadline, long age, boolean repeat, int kind, int tenant) {
             boolean write = kind == 2;
             switch (how) {
                 case "twice" -> {
-                    out.send(id, one(true), 0);
+                    out.sendAttempt(id, one(true), 0);
                     if (write) {
-                        out.send(id, one(true), 0);
+                        out.sendAttempt(id, one(true), 0);
                     }
                 }
-                case "old" -> out.send(id, write ? one(true) : one(false), 0);
-                default -> out.send(id, members.get((int) (id % members.size())).server(), 0);
+                case "old" -> out.sendAttempt(id, write ? one(true) : one(false), 0);
+                default ->
+                    out.sendAttempt(id, members.get((int) (id % members.size())).server(), 0);
             }
         }
 
         @Override
-        public void members(long now, ListKind kind, List<Member> list) {
+        public void onServerList(long now, ListKind kind, List<ListEntry> list) {
             if (kind == ListKind.CACHED) {
                 members = List.copyOf(list);
-                out.follow(true);
+                out.watchServerList(true);
             }
         }
 
         @Override
-        public void outcome(
+        public void onAttemptEnded(
                 long now,
                 long id,
                 int attempt,
@@ -170,22 +171,22 @@
         }
 
         @Override
-        public void listMoved(long now) {}
+        public void onDiscoveryMoved(long now) {}
 
         @Override
-        public void begun(long now, long id, int attempt, long server) {}
+        public void onAnswerBegun(long now, long id, int attempt, long server) {}
 
         @Override
-        public void left(long now, long id) {}
+        public void onClientLeft(long now, long id) {}
 
         @Override
-        public void timer(long now, long token) {}
+        public void onTimer(long now, long token) {}
 
         @Override
-        public void probed(long now, long server, long took, Result result, Report report) {}
+        public void onProbeEnded(long now, long server, long took, Result result, Report report) {}
 
         @Override
-        public void peer(long now, int from, byte[] message) {}
+        public void onPeerMessage(long now, int from, byte[] message) {}
     }
 
     private static long caught(Audit.Rule rule, String how, String text) throws Exception {
--- a/router/src/main/java/stoatrill/Decide.java
+++ b/router/src/main/java/stoatrill/Decide.java
@@ -397,17 +397,18 @@
         this.rules = settings.rules();
         this.replication = settings.replication();
         this.classes = settings.classes().toArray(new RequestClass[0]);
-        this.serversCheckReads = settings.replication().check() != Check.NONE;
-        this.tracksSessions = !replication.carried()
+        this.serversCheckReads = settings.replication().stalenessCheck() != StalenessCheck.NONE;
+        this.tracksSessions = !replication.clientsCarryTokens()
                 // Without session reads, the recorded commits would accumulate unread.
-                && Arrays.stream(classes).anyMatch(c -> c.need() == Need.SESSION);
+                && Arrays.stream(classes).anyMatch(c -> c.consistency() == Consistency.SESSION);
         this.random = new SplittableRandom(seed);
         // An agent that pushes lists answers a call at once and at no cost, and its list binds immediately.
-        long firstWait = settings.asked() ? LIST_RETRY_NANOS : Math.min(LIST_RETRY_NANOS, rules.drainGrace() / 4);
-        long longestWait = settings.asked() ? MISSED_CHANGE_NANOS + rules.drainGrace() - LOST_CALLS_NANOS : 0;
+        long firstWait =
+                settings.listOnRequest() ? LIST_RETRY_NANOS : Math.min(LIST_RETRY_NANOS, rules.drainGrace() / 4);
+        long longestWait = settings.listOnRequest() ? MISSED_CHANGE_NANOS + rules.drainGrace() - LOST_CALLS_NANOS : 0;
         this.listBackoff = new Backoff(firstWait, longestWait / Backoff.MAX_JITTER_FACTOR);
         this.tenantAllowances = new TenantAllowances(settings.tenants().stream()
-                .mapToDouble(t -> t.allowance() / settings.gateways())
+                .mapToDouble(t -> t.allowancePerSecond() / settings.gatewayCount())
                 .toArray());
         this.highestWorth =
                 Arrays.stream(classes).mapToDouble(RequestClass::worth).max().orElse(1);
@@ -418,7 +419,7 @@
     }
 
     @Override
-    public void request(
+    public void onRequest(
             long currentTime,
             long id,
             long session,
@@ -429,7 +430,7 @@
             int classIndex,
             int tenantIndex) {
         now = currentTime;
-        RequestState request = new RequestState(limits.attempts());
+        RequestState request = new RequestState(limits.maxAttempts());
         request.id = id;
         request.session = session;
         request.arrivedAt = now;
@@ -438,23 +439,23 @@
         request.classIndex = classIndex;
         request.group = findOrCreateGroup(groupNumber);
         request.worth = request.requestClass.worth()
-                * (tenantAllowances.exceeds(tenantIndex, now) ? settings.overShareWorth() : 1);
-        if (request.requestClass.need() == Need.SESSION) {
+                * (tenantAllowances.exceeds(tenantIndex, now) ? settings.overAllowanceWorthFactor() : 1);
+        if (request.requestClass.consistency() == Consistency.SESSION) {
             long carriedPosition = tokenAge > 0 ? now - tokenAge + NANOS_PER_MILLI : NONE;
             request.requiredPosition =
-                    replication.carried() ? carriedPosition : sessionCommits.requiredPosition(session);
+                    replication.clientsCarryTokens() ? carriedPosition : sessionCommits.requiredPosition(session);
         }
         requestsById.put(id, request);
         requestRate.recordEvent(now);
         retryBudget = Math.min(RETRY_BUDGET_LIMIT, Math.max(0, retryBudget) + RETRY_BUDGET_RATIO);
-        gateway.timer(Math.max(0, deadline - now - settings.tick()), id);
+        gateway.startTimer(Math.max(0, deadline - now - settings.tick()), id);
         routeRequest(request);
     }
 
     /** Sends the request to a server, holds it, or rejects it if it can't be served in time or be sent again. */
     private void routeRequest(RequestState request) {
         if (now >= request.deadline - settings.tick()
-                || request.attemptCount >= limits.attempts()
+                || request.attemptCount >= limits.maxAttempts()
                 || !mayRepeat(request)) {
             rejectRequest(request, "over");
             return;
@@ -481,7 +482,8 @@
                 requestProbe(candidate, "doubted");
             }
         }
-        if (request.requestClass.need() == Need.WRITE || request.requestClass.need() == Need.FRESH) {
+        if (request.requestClass.consistency() == Consistency.WRITE
+                || request.requestClass.consistency() == Consistency.FRESH) {
             boolean isReady = primary != null && takesWrites(primary) && primary.busyUntil <= now;
             return isReady && slowStartAllows(primary) ? primary : null;
         }
@@ -623,15 +625,15 @@
      * nearly so.
      */
     private boolean isFreshEnough(MemberState member, RequestState request) {
-        long required = request.requestClass.need() == Need.BOUNDED
-                ? now - request.requestClass.bound()
+        long required = request.requestClass.consistency() == Consistency.BOUNDED
+                ? now - request.requestClass.maxStaleness()
                 : request.requiredPosition;
         // An entry of the list alone does not prove that the server is the primary.
-        boolean primaryIsProven = serversCheckReads || !limits.probes() || member.roleAt != NONE;
+        boolean primaryIsProven = serversCheckReads || !limits.mayProbe() || member.roleAt != NONE;
         return required == NONE
                 || member.position >= required
                 || (primaryIsProven && member == request.group.primary)
-                || (serversCheckReads && now - member.lag >= required - replication.holdsFor() / 2.0);
+                || (serversCheckReads && now - member.lag >= required - replication.checkWait() / 2.0);
     }
 
     private boolean isListed(MemberState member) {
@@ -657,25 +659,25 @@
         request.attemptCount++;
         request.pendingAttemptCount++;
         request.isHeld = request.silenceRecorded = request.overdueProbeRequested = false;
-        if (request.requestClass.need() == Need.BOUNDED) {
-            request.requiredPosition = now - request.requestClass.bound();
+        if (request.requestClass.consistency() == Consistency.BOUNDED) {
+            request.requiredPosition = now - request.requestClass.maxStaleness();
         }
         member.inFlight++;
         member.slowStartTokens--;
-        gateway.send(request.id, member.serverId, 0);
+        gateway.sendAttempt(request.id, member.serverId, 0);
         scheduleOverdueCheck(request, overdueDelay(request, member));
     }
 
     private void scheduleOverdueCheck(RequestState request, long delay) {
         request.overdueAt = now + delay;
-        gateway.timer(delay, request.id);
+        gateway.startTimer(delay, request.id);
     }
 
     /** After how long without an answer an attempt is overdue. */
     private long overdueDelay(RequestState request, MemberState member) {
         double delay = OVERDUE_LATENCY_FACTOR
                 * usualLatency(request)
-                * (request.requestClass.need() == Need.WRITE ? currentSlowdown(member) : 1);
+                * (request.requestClass.consistency() == Consistency.WRITE ? currentSlowdown(member) : 1);
         return (long) Math.min(delay, OVERDUE_AIM_SHARE_LIMIT * request.requestClass.aim());
     }
 
@@ -756,7 +758,7 @@
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long currentTime,
             long id,
             int attempt,
@@ -781,7 +783,7 @@
                 recordPosition(member, position, (double) (now - position), (double) (now - position));
                 if (tracksSessions
                         && request != null
-                        && request.requestClass.need() == Need.WRITE
+                        && request.requestClass.consistency() == Consistency.WRITE
                         && result == Result.OK) {
                     sessionCommits.record(request.session, position, now);
                 }
@@ -792,7 +794,7 @@
         }
         request.attemptEnded[attempt] = true;
         request.pendingAttemptCount--;
-        if (!result.certain) {
+        if (!result.isCertain) {
             request.firstUncertainSentAt = request.firstUncertainSentAt == NONE
                     ? request.attemptSentAt[attempt]
                     : Math.min(request.firstUncertainSentAt, request.attemptSentAt[attempt]);
@@ -805,7 +807,7 @@
             request.group.searchingRequest = null;
         }
         if (request.pendingAttemptCount == 0) {
-            retryBudget -= result.certain ? 0 : 1;
+            retryBudget -= result.isCertain ? 0 : 1;
             if (retryBudget < 0) {
                 rejectRequest(request, "budget");
             } else {
@@ -817,11 +819,11 @@
     /** Whether the class permits another attempt, given the attempts that may have run. */
     private boolean mayRepeat(RequestState request) {
         long firstUncertainAt = firstUncertainSendTime(request);
-        if (firstUncertainAt == NONE || request.requestClass.effect() == Effect.SAFE) {
+        if (firstUncertainAt == NONE || request.requestClass.idempotency() == Idempotency.SAFE) {
             return true;
         }
-        return request.requestClass.effect() == Effect.KEYED
-                && request.requestClass.scope() != Scope.ZONE
+        return request.requestClass.idempotency() == Idempotency.KEYED
+                && request.requestClass.deduplicationScope() != DeduplicationScope.ZONE
                 && now < firstUncertainAt + request.requestClass.repeatWindow() - rules.answerSlack();
     }
 
@@ -837,18 +839,18 @@
     }
 
     @Override
-    public void begun(long currentTime, long id, int attempt, long server) {
+    public void onAnswerBegun(long currentTime, long id, int attempt, long server) {
         now = currentTime;
         RequestState request = requestsById.get(id);
         if (request != null && attempt < request.attemptCount && !request.attemptEnded[attempt]) {
             request.attemptEnded[attempt] = true;
             request.pendingAttemptCount--;
-            left(currentTime, id);
+            onClientLeft(currentTime, id);
         }
     }
 
     @Override
-    public void left(long currentTime, long id) {
+    public void onClientLeft(long currentTime, long id) {
         now = currentTime;
         RequestState request = requestsById.get(id);
         if (request != null && !request.isOver) {
@@ -857,14 +859,14 @@
     }
 
     @Override
-    public void timer(long currentTime, long token) {
+    public void onTimer(long currentTime, long token) {
         now = currentTime;
         if (token == SWEEP_TOKEN) {
             sweepHeldRequests();
-            gateway.timer(SWEEP_TICK_COUNT * settings.tick(), SWEEP_TOKEN);
+            gateway.startTimer(SWEEP_TICK_COUNT * settings.tick(), SWEEP_TOKEN);
         } else if (token == LIST_RETRY_TOKEN) {
             listCalledAt = now;
-            gateway.follow(true);
+            gateway.watchServerList(true);
         } else {
             RequestState request = requestsById.get(token);
             if (request != null && !request.isOver && now >= request.deadline - settings.tick()) {
@@ -897,11 +899,12 @@
     private void recordReport(MemberState member, Report report) {
         recordRole(member, report.role(), now - (long) reportAge);
         member.reportAt = now;
-        if (report.waiting() >= 0) {
+        if (report.queuedRequests() >= 0) {
             reportsShowQueues = true;
-            double inServiceCount =
-                    report.held() > report.waiting() ? report.held() - report.waiting() : DEFAULT_IN_SERVICE_COUNT;
-            member.queueRatio = report.waiting() / Math.max(1, inServiceCount);
+            double inServiceCount = report.requestsInFlight() > report.queuedRequests()
+                    ? report.requestsInFlight() - report.queuedRequests()
+                    : DEFAULT_IN_SERVICE_COUNT;
+            member.queueRatio = report.queuedRequests() / Math.max(1, inServiceCount);
             GroupState group = member.group;
             // A queue of writes at the primary says nothing about replicas.
             if (member != group.primary) {
@@ -954,10 +957,10 @@
         RequestState write = null;
         for (RequestState candidate : group.heldRequests) {
             if (candidate.isHeld
-                    && candidate.requestClass.need() == Need.WRITE
+                    && candidate.requestClass.consistency() == Consistency.WRITE
                     && mayRepeat(candidate)
                     && candidate.pendingAttemptCount == 0
-                    && candidate.attemptCount < limits.attempts()
+                    && candidate.attemptCount < limits.maxAttempts()
                     && (write == null || candidate.deadline > write.deadline)) {
                 write = candidate;
             }
@@ -1003,10 +1006,10 @@
             unansweredShares[member.zone] += THIRTY_SAMPLE_WEIGHT * (1 - unansweredShares[member.zone]);
             recordFault(member, "silence");
         }
-        boolean mayRetry = retryBudget >= 1 && mayRepeat(request) && request.attemptCount < limits.attempts();
+        boolean mayRetry = retryBudget >= 1 && mayRepeat(request) && request.attemptCount < limits.maxAttempts();
         MemberState alternative = mayRetry && (isEjected(member) || isUnhealthy(member)) ? chooseMember(request) : null;
-        if (alternative != null && !limits.secondCopies()) {
-            gateway.cancel(request.id, attempt);
+        if (alternative != null && !limits.maySendSecondCopies()) {
+            gateway.cancelAttempt(request.id, attempt);
         } else if (alternative != null) {
             retryBudget--;
             sendAttempt(request, alternative);
@@ -1055,7 +1058,7 @@
             }
             case MISS -> {
                 recordAnswer(member);
-                if (request != null && request.requestClass.need() == Need.WRITE) {
+                if (request != null && request.requestClass.consistency() == Consistency.WRITE) {
                     recordRole(member, Role.REPLICA, now);
                 } else if (request != null && request.requiredPosition != NONE) {
                     member.lag = Math.max(member.lag, (double) (now - request.requiredPosition));
@@ -1128,7 +1131,7 @@
 
     /** Whether the server is ejected, or was and, where probes are permitted, has not yet reported well since. */
     private boolean isEjected(MemberState member) {
-        return member.ejectedUntil > now || (member.isSuspected && limits.probes());
+        return member.ejectedUntil > now || (member.isSuspected && limits.mayProbe());
     }
 
     /**
@@ -1141,7 +1144,7 @@
     }
 
     private boolean isCold(MemberState member) {
-        return member.coldSince != NONE && now - member.coldSince < rules.warmAfter();
+        return member.coldSince != NONE && now - member.coldSince < rules.warmUpSpan();
     }
 
     private void markCold(MemberState member, long startedAt) {
@@ -1163,8 +1166,8 @@
         if (!isCold(member)) {
             return true;
         }
-        double warmUpProgress = Math.max(0, (double) (now - member.coldSince) / rules.warmAfter());
-        double budgetShare = rules.coldFrom() + (1 - rules.coldFrom()) * warmUpProgress;
+        double warmUpProgress = Math.max(0, (double) (now - member.coldSince) / rules.warmUpSpan());
+        double budgetShare = rules.coldStartShare() + (1 - rules.coldStartShare()) * warmUpProgress;
         int listedCount = 0;
         int warmCount = 0;
         for (MemberState other : members) {
@@ -1175,8 +1178,8 @@
         if (warmCount > 0) {
             ownRate = Math.min(ownRate, warmAnswerRate.perSecond(now) / warmCount);
         }
-        double tokensPerSecond = SLOW_START_BUDGET_SHARE * rules.tipMultiple() * budgetShare * ownRate;
-        double tokenLimit = Math.max(1, tokensPerSecond * rules.tipAfter() / 1e9 / 2);
+        double tokensPerSecond = SLOW_START_BUDGET_SHARE * rules.overloadMultiple() * budgetShare * ownRate;
+        double tokenLimit = Math.max(1, tokensPerSecond * rules.overloadSpan() / 1e9 / 2);
         member.slowStartTokens = Math.min(
                 Math.max(0, member.slowStartTokens) + tokensPerSecond * (now - member.slowStartFilledAt) / 1e9,
                 tokenLimit);
@@ -1185,14 +1188,14 @@
     }
 
     @Override
-    public void members(long currentTime, ListKind kind, List<Gateway.Member> entries) {
+    public void onServerList(long currentTime, ListKind kind, List<Gateway.ListEntry> entries) {
         now = currentTime;
         if (!hasStarted) {
             hasStarted = true;
-            gateway.timer(settings.tick(), SWEEP_TOKEN);
+            gateway.startTimer(settings.tick(), SWEEP_TOKEN);
             tenantAllowances.start(now);
-            if (settings.asked()) {
-                gateway.follow(true);
+            if (settings.listOnRequest()) {
+                gateway.watchServerList(true);
             }
         }
         listMayBeStale |= kind == ListKind.SILENT || kind == ListKind.FAILED;
@@ -1200,13 +1203,13 @@
             return;
         }
         if (kind == ListKind.FAILED) {
-            gateway.timer(listBackoff.nextWait(now - listCalledAt, random), LIST_RETRY_TOKEN);
+            gateway.startTimer(listBackoff.nextWait(now - listCalledAt, random), LIST_RETRY_TOKEN);
             return;
         }
         listBackoff.reset();
         listCount++;
         entries.forEach(this::applyListEntry);
-        listMayBeStale = kind == ListKind.CACHED && !settings.asked();
+        listMayBeStale = kind == ListKind.CACHED && !settings.listOnRequest();
         for (int i = members.size() - 1; i >= 0; i--) {
             MemberState member = members.get(i);
             if (kind == ListKind.FULL && member.lastListNumber < listCount) {
@@ -1227,17 +1230,17 @@
     }
 
     @Override
-    public void listMoved(long currentTime) {
+    public void onDiscoveryMoved(long currentTime) {
         now = currentTime;
         listMayBeStale = true;
         listBackoff.reset();
-        if (settings.asked()) {
-            gateway.follow(true);
+        if (settings.listOnRequest()) {
+            gateway.watchServerList(true);
         }
     }
 
     /** Applies an entry of the list; a server that is draining stays so until it has restarted. */
-    private void applyListEntry(Gateway.Member entry) {
+    private void applyListEntry(Gateway.ListEntry entry) {
         MemberState member = membersByServer.get(entry.server());
         if (member == null) {
             member = new MemberState();
@@ -1260,9 +1263,9 @@
         }
         applyListedState(
                 member,
-                entry.state() == State.DRAINING || (member.isDraining && !hasRestarted),
-                entry.state() == State.GONE);
-        if (entry.primary() && member.roleAt == NONE && member.group.primaryRoleAt == NONE) {
+                entry.state() == ListedState.DRAINING || (member.isDraining && !hasRestarted),
+                entry.state() == ListedState.GONE);
+        if (entry.isPrimary() && member.roleAt == NONE && member.group.primaryRoleAt == NONE) {
             member.group.primary = member;
         }
     }
@@ -1277,7 +1280,7 @@
     }
 
     @Override
-    public void probed(long currentTime, long server, long elapsed, Result result, Report report) {
+    public void onProbeEnded(long currentTime, long server, long elapsed, Result result, Report report) {
         now = currentTime;
         MemberState member = membersByServer.get(server);
         if (member == null) {
@@ -1306,7 +1309,7 @@
      * probe is pending.
      */
     private boolean requestProbe(MemberState member, String cause) {
-        if (!limits.probes()
+        if (!limits.mayProbe()
                 || member.probePending
                 || (member.probedAt != NONE && now - member.probedAt < PROBE_INTERVAL_NANOS)) {
             return member.probePending;
@@ -1314,12 +1317,12 @@
         member.probePending = true;
         member.probedAt = now;
         gateway.count("probe", cause);
-        gateway.probe(member.serverId);
+        gateway.probeServer(member.serverId);
         return true;
     }
 
     @Override
-    public void peer(long currentTime, int from, byte[] message) {
+    public void onPeerMessage(long currentTime, int from, byte[] message) {
         now = currentTime;
     }
 
@@ -1351,12 +1354,13 @@
      */
     private void rejectRequest(RequestState request, String cause) {
         gateway.count(request.requestClass.name(), cause);
-        boolean isRefusable = request.requestClass.effect() == Effect.SAFE
+        boolean isRefusable = request.requestClass.idempotency() == Idempotency.SAFE
                 || firstUncertainSendTime(request) == NONE
-                || (request.requestClass.effect() == Effect.KEYED && request.requestClass.scope() == Scope.ALL);
+                || (request.requestClass.idempotency() == Idempotency.KEYED
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL);
         if (isRefusable) {
             long wait = (long) (request.requestClass.aim() * (0.5 + random.nextDouble()));
-            gateway.refuse(request.id, limits.comeBack() ? Math.min(wait, limits.longestComeBack()) : 0);
+            gateway.refuse(request.id, limits.mayAdviseRetry() ? Math.min(wait, limits.maxRetryAfter()) : 0);
         } else {
             gateway.fail(request.id);
         }
@@ -1380,9 +1384,9 @@
     }
 
     private void cancelPendingAttempts(RequestState request) {
-        for (int i = 0; i < request.attemptCount && limits.cancel(); i++) {
+        for (int i = 0; i < request.attemptCount && limits.mayCancel(); i++) {
             if (!request.attemptEnded[i]) {
-                gateway.cancel(request.id, i);
+                gateway.cancelAttempt(request.id, i);
             }
         }
     }
--- a/router/src/main/java/stoatrill/Gateway.java
+++ b/router/src/main/java/stoatrill/Gateway.java
@@ -18,8 +18,8 @@
     /** An unknown log position, older than any other. */
     long NO_POSITION = Long.MIN_VALUE;
 
-    /** The receiver in {@link #tell} that addresses all peers. */
-    int EVERY_PEER = -1;
+    /** The receiver in {@link #sendToPeer} that addresses all peers. */
+    int ALL_PEERS = -1;
 
     /**
      * Starts an attempt of a request: the first one, a retry, or a second copy. The attempts of a request are numbered
@@ -27,7 +27,7 @@
      *
      * @param timeout span after which the attempt ends as {@link Result#TIMEOUT}; 0 for when the client stops waiting
      */
-    void send(long request, long server, long timeout);
+    void sendAttempt(long request, long server, long timeout);
 
     /**
      * Gives the final answer that the request is refused and that it is safe to try again.
@@ -40,25 +40,25 @@
     void fail(long request);
 
     /** Cancels one attempt. Its outcome is still reported, mostly as {@link Result#CANCELLED}. */
-    void cancel(long request, int attempt);
+    void cancelAttempt(long request, int attempt);
 
-    /** Schedules {@link Events#timer} with this token after the delay. A timer can't be cancelled. */
-    void timer(long delay, long token);
+    /** Schedules {@link Events#onTimer} with this token after the delay. A timer can't be cancelled. */
+    void startTimer(long delay, long token);
 
-    /** Probes a server, which costs it some work. {@link Events#probed} reports the result. */
-    void probe(long server);
+    /** Probes a server, which costs it some work. {@link Events#onProbeEnded} reports the result. */
+    void probeServer(long server);
 
     /** Closes the idle connections of the gateway to a server. */
-    void dropIdle(long server);
+    void closeIdleConnections(long server);
 
-    /** Sends a short message, which may be lost, to a peer or to {@link #EVERY_PEER}. */
-    void tell(int peer, byte[] message);
+    /** Sends a short message, which may be lost, to a peer or to {@link #ALL_PEERS}. */
+    void sendToPeer(int peer, byte[] message);
 
     /** Starts or stops to watch the list of servers for changes. */
-    void follow(boolean enabled);
+    void watchServerList(boolean enabled);
 
     /** Requests the whole list of servers once. */
-    void fetch();
+    void fetchServerList();
 
     /** Writes a log line for the operators. */
     void log(String line);
@@ -76,13 +76,13 @@
          * @param members the whole list, or only the changed entries for {@link ListKind#DELTA}; empty if the call
          *     failed
          */
-        void members(long now, ListKind kind, List<Member> members);
+        void onServerList(long now, ListKind kind, List<ListEntry> members);
 
         /**
          * Reports that the list has moved to another source. It is watched there only after a new call of
-         * {@link Gateway#follow}.
+         * {@link Gateway#watchServerList}.
          */
-        void listMoved(long now);
+        void onDiscoveryMoved(long now);
 
         /**
          * Reports a new request. It must get exactly one final answer before {@code deadline}.
@@ -96,7 +96,7 @@
          * @param classIndex index of the request's class in {@link Settings#classes}
          * @param tenantIndex index of the request's tenant in {@link Settings#tenants}
          */
-        void request(
+        void onRequest(
                 long now,
                 long id,
                 long session,
@@ -111,11 +111,11 @@
          * Reports that a streamed answer has begun. The attempt now belongs to the client; neither the timeout nor the
          * deadline apply any more.
          */
-        void begun(long now, long id, int attempt, long server);
+        void onAnswerBegun(long now, long id, int attempt, long server);
 
         /**
-         * Reports how an attempt ended. There is exactly one call for each {@link Gateway#send}, even after the request
-         * is over.
+         * Reports how an attempt ended. There is exactly one call for each {@link Gateway#sendAttempt}, even after the
+         * request is over.
          *
          * @param elapsed span from the send until now
          * @param isRequestOver whether the request is over, through this outcome or before it
@@ -124,7 +124,7 @@
          * @param role what the answer shows of the server's role
          * @param report the server's report on itself, or null
          */
-        void outcome(
+        void onAttemptEnded(
                 long now,
                 long id,
                 int attempt,
@@ -137,16 +137,16 @@
                 Report report);
 
         /** Reports that the client has left. The request is over; pending attempts still get their outcome. */
-        void left(long now, long id);
+        void onClientLeft(long now, long id);
 
         /** Reports that a timer has expired. */
-        void timer(long now, long token);
+        void onTimer(long now, long token);
 
         /** Reports how a probe ended; {@code report} may be null. */
-        void probed(long now, long server, long elapsed, Result result, Report report);
+        void onProbeEnded(long now, long server, long elapsed, Result result, Report report);
 
         /** Delivers a message from a peer. */
-        void peer(long now, int from, byte[] message);
+        void onPeerMessage(long now, int from, byte[] message);
     }
 
     /** The result of an attempt or a probe. */
@@ -173,10 +173,10 @@
         MISS(true);
 
         /** Whether the effect is certain: the request was served, or it is proven that it did not run. */
-        public final boolean certain;
+        public final boolean isCertain;
 
         Result(boolean certain) {
-            this.certain = certain;
+            this.isCertain = certain;
         }
     }
 
@@ -188,10 +188,10 @@
     }
 
     /**
-     * The kind of list that {@link Events#members} reports. FAILED and SILENT carry no list. FAILED: the call failed,
-     * and the list is not watched until the module requests it again. SILENT: a watch fell silent, and the gateway
-     * reopens it on its own. After these, the changes that the next list brings may count as known from an earlier time
-     * on.
+     * The kind of list that {@link Events#onServerList} reports. FAILED and SILENT carry no list. FAILED: the call
+     * failed, and the list is not watched until the module requests it again. SILENT: a watch fell silent, and the
+     * gateway reopens it on its own. After these, the changes that the next list brings may count as known from an
+     * earlier time on.
      */
     enum ListKind {
         DELTA,
@@ -202,14 +202,14 @@
     }
 
     /** The state of a server in the list. */
-    enum State {
+    enum ListedState {
         READY,
         DRAINING,
         GONE
     }
 
     /** How new the data must be that a read of a class sees, or that the class writes. */
-    enum Need {
+    enum Consistency {
         WRITE,
         FRESH,
         SESSION,
@@ -218,14 +218,14 @@
     }
 
     /** Whether a request may run more than once. A keyed request may where servers drop repeats of its key. */
-    enum Effect {
+    enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
     /** The servers that drop a repeat with the same key. */
-    enum Scope {
+    enum DeduplicationScope {
         ALL,
         ZONE,
         GROUP
@@ -234,7 +234,7 @@
     /**
      * What a server does with a read for which its data is too old: answer it, refuse it, or wait and then refuse it.
      */
-    enum Check {
+    enum StalenessCheck {
         NONE,
         REFUSE,
         WAIT
@@ -243,127 +243,134 @@
     /** How the list shows which member is the primary: not at all, with a delay, or as of the start. */
     enum ListedRole {
         NONE,
-        LATE,
+        DELAYED,
         AT_START
     }
 
     /**
      * An entry of the list of servers.
      *
-     * @param size relative capacity, without a unit
+     * @param relativeCapacity relative capacity, without a unit
      * @param startedAt when the server started; 0 for long ago
      */
-    record Member(
-            long server, int group, int zone, int model, double size, long startedAt, boolean primary, State state) {}
+    record ListEntry(
+            long server,
+            int group,
+            int zone,
+            int model,
+            double relativeCapacity,
+            long startedAt,
+            boolean isPrimary,
+            ListedState state) {}
 
     /**
      * A server's report on itself, which is some time old.
      *
-     * @param waiting number of requests queued at the server; negative if not reported
-     * @param held number of requests at the server, queued or in service; negative if not reported
+     * @param queuedRequests number of requests queued at the server; negative if not reported
+     * @param requestsInFlight number of requests at the server, queued or in service; negative if not reported
      */
-    record Report(long position, Role role, double waiting, double held) {}
+    record Report(long position, Role role, double queuedRequests, double requestsInFlight) {}
 
     /**
      * A class of requests.
      *
      * @param aim target latency; an answer within it has full worth
-     * @param giveUp span after which clients stop waiting
+     * @param clientTimeout span after which clients stop waiting
      * @param lateWorth worth of an answer after the aim
-     * @param bound how old the data may be when the attempt is sent, for {@link Need#BOUNDED}
+     * @param maxStaleness how old the data may be when the attempt is sent, for {@link Consistency#BOUNDED}
      * @param repeatWindow span in which servers drop repeats with the same key
      */
     record RequestClass(
             String name,
             long aim,
-            long giveUp,
+            long clientTimeout,
             double worth,
             double lateWorth,
-            Need need,
-            long bound,
-            Effect effect,
-            Scope scope,
+            Consistency consistency,
+            long maxStaleness,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
             long repeatWindow,
-            boolean streamed) {}
+            boolean isStreamed) {}
 
     /**
      * A tenant.
      *
-     * @param allowance requests a second, over all gateways, up to which its requests have full worth
+     * @param allowancePerSecond requests a second, over all gateways, up to which its requests have full worth
      */
-    record Tenant(String name, double allowance) {}
+    record Tenant(String name, double allowancePerSecond) {}
 
     /**
      * What the site permits.
      *
-     * @param comeBack whether a refusal may advise when to try again
-     * @param attempts the most attempts of a request
-     * @param longestComeBack the longest span that such advice may name
+     * @param mayAdviseRetry whether a refusal may advise when to try again
+     * @param maxAttempts the most attempts of a request
+     * @param maxRetryAfter the longest span that such advice may name
      */
     record Limits(
-            boolean cancel,
-            boolean probes,
-            boolean peers,
-            boolean secondCopies,
-            boolean comeBack,
-            int attempts,
-            long longestComeBack) {}
+            boolean mayCancel,
+            boolean mayProbe,
+            boolean mayMessagePeers,
+            boolean maySendSecondCopies,
+            boolean mayAdviseRetry,
+            int maxAttempts,
+            long maxRetryAfter) {}
 
     /**
      * The parameters of the rules that apply where a gateway runs.
      *
      * @param answerSlack safety margin before the end of a repeat window
-     * @param askWithin span after a list call from which the changes that it should show count as known
+     * @param listCallGrace span after a list call from which the changes that it should show count as known
      * @param drainGrace span after the news of a drain in which a server may still get attempts
-     * @param coldFrom share of its full budget that a cold server starts with
-     * @param warmAfter span after which a started server is warm
-     * @param tipMultiple multiple of a cold server's share of the traffic at which it is overloaded
-     * @param tipAfter span of such load after which a cold server is overloaded
+     * @param coldStartShare share of its full budget that a cold server starts with
+     * @param warmUpSpan span after which a started server is warm
+     * @param overloadMultiple multiple of a cold server's share of the traffic at which it is overloaded
+     * @param overloadSpan span of such load after which a cold server is overloaded
      * @param removalBinds whether a server that is off the list must get no attempts
      */
     record Rules(
             long answerSlack,
-            long askWithin,
+            long listCallGrace,
             long drainGrace,
-            double coldFrom,
-            long warmAfter,
-            double tipMultiple,
-            long tipAfter,
+            double coldStartShare,
+            long warmUpSpan,
+            double overloadMultiple,
+            long overloadSpan,
             boolean removalBinds) {}
 
     /**
      * How the replicas and their answers behave.
      *
-     * @param holdsFor how long a server waits for newer data, for {@link Check#WAIT}
-     * @param positionsTold whether answers show log positions
-     * @param carried whether a session's read carries the age of the session's last write
+     * @param checkWait how long a server waits for newer data, for {@link StalenessCheck#WAIT}
+     * @param answersShowPosition whether answers show log positions
+     * @param clientsCarryTokens whether a session's read carries the age of the session's last write
      * @param reportsInline whether reports come with answers
      */
     record Replication(
-            Check check,
-            long holdsFor,
-            boolean positionsTold,
-            boolean carried,
+            StalenessCheck stalenessCheck,
+            long checkWait,
+            boolean answersShowPosition,
+            boolean clientsCarryTokens,
             ListedRole listedRole,
             boolean reportsInline) {}
 
     /**
      * The settings of a gateway, given at its start.
      *
-     * @param me number of this gateway
-     * @param gateways number of gateways
+     * @param gatewayIndex number of this gateway
+     * @param gatewayCount number of gateways
      * @param zone zone of this gateway
      * @param tick granularity of the gateway's timers
-     * @param asked whether the list comes only on request
-     * @param overShareWorth factor on the worth of requests beyond a tenant's allowance
+     * @param listOnRequest whether the list comes only on request
+     * @param overAllowanceWorthFactor factor on the worth of requests beyond a tenant's allowance
      */
     record Settings(
-            int me,
-            int gateways,
+            int gatewayIndex,
+            int gatewayCount,
             int zone,
             long tick,
-            boolean asked,
-            double overShareWorth,
+            boolean listOnRequest,
+            double overAllowanceWorthFactor,
             Limits limits,
             Rules rules,
             Replication replication,
--- a/router/src/main/java/stoatrill/contract/Accounts.java
+++ b/router/src/main/java/stoatrill/contract/Accounts.java
@@ -25,10 +25,12 @@
         limitedOnlyWhenShort = new boolean[teamCount];
         for (int i = 0; i < teamCount; i++) {
             Contract contract = contracts.all().get(i);
-            parentIndexes[i] = contract.parent();
-            rateBuckets[i] = contract.perDay() > 0 ? new RateBucket(contract.perDay(), contract.burst(), now) : null;
+            parentIndexes[i] = contract.parentIndex();
+            rateBuckets[i] = contract.requestsPerDay() > 0
+                    ? new RateBucket(contract.requestsPerDay(), contract.burst(), now)
+                    : null;
             windowBudgets[i] =
-                    contract.budget() > 0 ? new WindowBudget(contract.budget(), contract.window(), now) : null;
+                    contract.budget() > 0 ? new WindowBudget(contract.budget(), contract.budgetWindow(), now) : null;
             limitedOnlyWhenShort[i] = contract.over() == Contract.Over.WHEN_SHORT;
         }
     }
@@ -48,7 +50,7 @@
     }
 
     private Integer exactIndex(String path) {
-        int index = contracts.place(path);
+        int index = contracts.indexOf(path);
         return index >= 0 && contracts.all().get(index).path().equals(path) ? index : null;
     }
 
@@ -107,7 +109,7 @@
      * @param groupShort the value at the charge
      * @param chargedAt the time of the charge
      */
-    public void giveBack(int team, boolean groupShort, long chargedAt) {
+    public void refund(int team, boolean groupShort, long chargedAt) {
         for (int ancestor = team; ancestor >= 0; ancestor = parentIndexes[ancestor]) {
             if (appliesRate(ancestor, groupShort)) {
                 rateBuckets[ancestor].refund();
--- a/router/src/main/java/stoatrill/contract/Contracts.java
+++ b/router/src/main/java/stoatrill/contract/Contracts.java
@@ -125,13 +125,13 @@
                 promisedShare = Long.MIN_VALUE / 2; // so that the error is reported only once
             }
             if (parent >= 0
-                    && all.get(parent).perDay() > 0
-                    && contract.perDay() > all.get(parent).perDay()) {
+                    && all.get(parent).requestsPerDay() > 0
+                    && contract.requestsPerDay() > all.get(parent).requestsPerDay()) {
                 reader.wrong(
                         directive.place(),
-                        "\"" + path + "\" is promised " + Quantity.RATE.format(contract.perDay())
+                        "\"" + path + "\" is promised " + Quantity.RATE.format(contract.requestsPerDay())
                                 + ", and the team above it "
-                                + Quantity.RATE.format(all.get(parent).perDay()) + "; lower this rate");
+                                + Quantity.RATE.format(all.get(parent).requestsPerDay()) + "; lower this rate");
             }
             int index = all.size();
             all.add(contract);
@@ -188,25 +188,25 @@
      * was promised. Each router admits at least one request at once, so bursts smaller than the number of routers add
      * up to that number.
      */
-    public Contracts part(int routerCount) {
+    public Contracts perRouter(int routerCount) {
         if (routerCount <= 1) {
             return this;
         }
         List<Contract> parts = new ArrayList<>();
         for (Contract contract : all) {
-            long perDay = contract.perDay() == 0 ? 0 : Math.max(1, contract.perDay() / routerCount);
+            long perDay = contract.requestsPerDay() == 0 ? 0 : Math.max(1, contract.requestsPerDay() / routerCount);
             long burst = Math.max(1, contract.burst() / routerCount);
             while (perDay > 1 && !RateBucket.canCountExactly(perDay, burst)) {
                 perDay--; // the next lower rate that can be counted exactly
             }
             parts.add(new Contract(
                     contract.path(),
-                    contract.parent(),
+                    contract.parentIndex(),
                     contract.share(),
                     perDay,
                     burst,
                     contract.budget() == 0 ? 0 : Math.max(1, contract.budget() / routerCount),
-                    contract.window(),
+                    contract.budgetWindow(),
                     contract.worth(),
                     contract.over()));
         }
@@ -222,7 +222,7 @@
      * Returns the index of a team by its path, or of the team that stands in for unknown ones; negative if unknown
      * teams are refused.
      */
-    public int place(String path) {
+    public int indexOf(String path) {
         return indexByPath.getOrDefault(path, unknownTeamIndex);
     }
 }
--- a/router/src/main/java/stoatrill/core/ContractGate.java
+++ b/router/src/main/java/stoatrill/core/ContractGate.java
@@ -37,7 +37,7 @@
 
     /** The index of a team; negative if it has no contract and no other contract covers it. */
     int teamIndex(String path) {
-        return accounts.contracts().place(path);
+        return accounts.contracts().indexOf(path);
     }
 
     boolean isShort(int group, long now) {
--- a/router/src/main/java/stoatrill/core/Reducer.java
+++ b/router/src/main/java/stoatrill/core/Reducer.java
@@ -98,7 +98,7 @@
             classesByName.put(requestClass.name(), requestClass);
         }
         this.maxWaitMillis = setup.settings().classes().stream()
-                        .mapToLong(RequestClass::giveUp)
+                        .mapToLong(RequestClass::clientTimeout)
                         .max()
                         .orElse(0)
                 / NANOS_PER_MILLI
@@ -113,7 +113,7 @@
     public void contracts(long eventTime, Contracts contracts) {
         now = eventTime;
         Contracts ownPart =
-                contracts == null ? null : contracts.part(setup.settings().gateways());
+                contracts == null ? null : contracts.perRouter(setup.settings().gatewayCount());
         if (ownPart == null) {
             contractGate = null;
         } else if (contractGate == null) {
@@ -133,7 +133,7 @@
             effects.answer(client, slot, new Answer.Invalid("unknown class \"" + clientRequest.kind() + "\""));
             return;
         }
-        if (clientRequest.writes() != (requestClass.need() == Need.WRITE)) {
+        if (clientRequest.writes() != (requestClass.consistency() == Consistency.WRITE)) {
             // A writing statement must not be sent under a class that may be repeated: an upload could run twice.
             effects.answer(
                     client,
@@ -162,7 +162,7 @@
             long waitNanos = contractGate.admit(teamIndex, isGroupShort, now);
             if (waitNanos > 0) {
                 Limits limits = setup.settings().limits();
-                long retryAfterNanos = limits.comeBack() ? Math.min(waitNanos, limits.longestComeBack()) : 0;
+                long retryAfterNanos = limits.mayAdviseRetry() ? Math.min(waitNanos, limits.maxRetryAfter()) : 0;
                 effects.answer(
                         client, slot, new Answer.Refused((retryAfterNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
                 return;
@@ -190,7 +190,7 @@
         long tokenAge = clientRequest.afterMillis() > 0
                 ? Math.max(1, now - clocks.fromWallMillis(clientRequest.afterMillis()))
                 : 0;
-        notifyModule(() -> decisionModule.request(
+        notifyModule(() -> decisionModule.onRequest(
                 now,
                 request.id,
                 toNumericKey(clientRequest.key()),
@@ -225,7 +225,7 @@
         if (openRequests != null) {
             for (Request request : openRequests.values()) {
                 finishRequest(request, null);
-                notifyModule(() -> decisionModule.left(now, request.id));
+                notifyModule(() -> decisionModule.onClientLeft(now, request.id));
             }
         }
     }
@@ -236,7 +236,7 @@
         Request request = openRequestsByClient.getOrDefault(client, Map.of()).get(slot);
         if (request != null) {
             finishRequest(request, new Answer.Cancelled());
-            notifyModule(() -> decisionModule.left(now, request.id));
+            notifyModule(() -> decisionModule.onClientLeft(now, request.id));
         }
     }
 
@@ -247,7 +247,7 @@
         for (Request request : List.copyOf(requestsById.values())) {
             if (!request.isOver) {
                 finishRequest(request, new Answer.Failed("the router is ending"));
-                notifyModule(() -> decisionModule.left(now, request.id));
+                notifyModule(() -> decisionModule.onClientLeft(now, request.id));
             }
         }
         runPendingActions();
@@ -374,8 +374,8 @@
     /** Handles news of the server list. The first call brings the cached list and starts the module. */
     public void members(long eventTime, ListKind listKind, List<ServerEntry> entries) {
         now = eventTime;
-        List<Member> members = serverDirectory.update(now, listKind, entries);
-        notifyModule(() -> decisionModule.members(now, listKind, members));
+        List<ListEntry> members = serverDirectory.update(now, listKind, entries);
+        notifyModule(() -> decisionModule.onServerList(now, listKind, members));
         serverDirectory.removeGoneServers();
     }
 
@@ -391,7 +391,7 @@
     public void listMoved(long eventTime) {
         now = eventTime;
         serverDirectory.listMoved();
-        notifyModule(() -> decisionModule.listMoved(now));
+        notifyModule(() -> decisionModule.onDiscoveryMoved(now));
     }
 
     /** Runs the deadlines that are due. Returns when the next one is due. */
@@ -459,7 +459,7 @@
     }
 
     @Override
-    public void send(long requestId, long serverId, long timeout) {
+    public void sendAttempt(long requestId, long serverId, long timeout) {
         pendingActions.add(() -> startAttempt(requestId, serverDirectory.findServer(serverId), timeout));
     }
 
@@ -493,7 +493,7 @@
     }
 
     @Override
-    public void probe(long serverId) {
+    public void probeServer(long serverId) {
         pendingActions.add(() -> {
             Attempt attempt = new Attempt(null, 0, serverDirectory.findServer(serverId), now);
             if (attempt.server.endpoint == null) {
@@ -507,7 +507,7 @@
     }
 
     @Override
-    public void cancel(long requestId, int attemptNumber) {
+    public void cancelAttempt(long requestId, int attemptNumber) {
         pendingActions.add(() -> {
             Request request = requestsById.get(requestId);
             if (request != null && attemptNumber < request.attempts.size()) {
@@ -547,27 +547,28 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
-        pendingActions.add(() -> deadlines.at(now + delay, () -> notifyModule(() -> decisionModule.timer(now, token))));
+    public void startTimer(long delay, long token) {
+        pendingActions.add(() ->
+                deadlines.at(now + delay, () -> notifyModule(() -> decisionModule.onTimer(now, token))));
     }
 
     @Override
-    public void dropIdle(long serverId) {
+    public void closeIdleConnections(long serverId) {
         pendingActions.add(() -> serverPool.closeIdleConnections(serverDirectory.findServer(serverId)));
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         invariants.check(false, "routers share nothing");
     }
 
     @Override
-    public void follow(boolean enabled) {
+    public void watchServerList(boolean enabled) {
         pendingActions.add(() -> effects.watch(enabled));
     }
 
     @Override
-    public void fetch() {
+    public void fetchServerList() {
         pendingActions.add(effects::fetch);
     }
 
@@ -652,7 +653,7 @@
             return;
         }
         attempt.state = Attempt.State.ENDED;
-        attempt.mayHaveRun = !result.certain || result == Result.OK;
+        attempt.mayHaveRun = !result.isCertain || result == Result.OK;
         if (attempt.timeoutDeadline != null) {
             attempt.timeoutDeadline.cancel();
         }
@@ -665,12 +666,13 @@
         effects.count(request == null ? "probed" : "outcome", result.name());
         trace(attempt, "ended", result.name());
         if (request == null) {
-            callModule(() -> decisionModule.probed(now, attempt.server.id, now - attempt.createdAt, result, report));
+            callModule(
+                    () -> decisionModule.onProbeEnded(now, attempt.server.id, now - attempt.createdAt, result, report));
             return;
         }
         request.openAttemptCount--;
         if (request.accounts != null && !attempt.mayHaveRun) {
-            request.accounts.giveBack(
+            request.accounts.refund(
                     request.teamIndex,
                     request.isGroupShort,
                     attempt.number == 0 ? request.chargedAt : attempt.createdAt);
@@ -684,7 +686,7 @@
         if (isRequestOver && request.openAttemptCount == 0) {
             requestsById.remove(request.id);
         }
-        callModule(() -> decisionModule.outcome(
+        callModule(() -> decisionModule.onAttemptEnded(
                 now,
                 request.id,
                 attempt.number,
@@ -757,7 +759,7 @@
                 answer == null ? "its client has left" : answer.getClass().getSimpleName());
         if (request.accounts != null && request.attempts.isEmpty()) {
             // No attempt was begun.
-            request.accounts.giveBack(request.teamIndex, request.isGroupShort, request.chargedAt);
+            request.accounts.refund(request.teamIndex, request.isGroupShort, request.chargedAt);
         }
         request.backstopDeadline.cancel();
         openRequestNames.remove(request.clientRequest.id());
@@ -788,7 +790,7 @@
         if (!request.isOver) {
             invariants.check(false, "the module answers before the deadline");
             finishRequest(request, new Answer.Failed("no answer before the deadline"));
-            callModule(() -> decisionModule.left(now, request.id));
+            callModule(() -> decisionModule.onClientLeft(now, request.id));
         }
     }
 
--- a/router/src/main/java/stoatrill/core/Request.java
+++ b/router/src/main/java/stoatrill/core/Request.java
@@ -37,7 +37,7 @@
 
     /** Whether it must not run twice. */
     boolean mustRunOnce() {
-        return requestClass.effect() != Gateway.Effect.SAFE;
+        return requestClass.idempotency() != Gateway.Idempotency.SAFE;
     }
 
     Request(long id, long client, long slot, ClientRequest clientRequest, RequestClass requestClass, long deadline) {
--- a/router/src/main/java/stoatrill/core/RequestGate.java
+++ b/router/src/main/java/stoatrill/core/RequestGate.java
@@ -3,12 +3,12 @@
 import java.util.EnumMap;
 import java.util.Map;
 import stoatrill.Gateway;
-import stoatrill.Gateway.Check;
-import stoatrill.Gateway.Effect;
-import stoatrill.Gateway.Need;
+import stoatrill.Gateway.Consistency;
+import stoatrill.Gateway.Idempotency;
 import stoatrill.Gateway.RequestClass;
 import stoatrill.Gateway.Role;
 import stoatrill.Gateway.Settings;
+import stoatrill.Gateway.StalenessCheck;
 
 /**
  * Decides whether an action on a request is permitted: to begin, send, repeat or answer it, or to close its client's
@@ -76,7 +76,7 @@
         if (request.isOver) {
             return Ruling.REQUEST_OVER;
         }
-        if (attempt.number >= settings.limits().attempts()) {
+        if (attempt.number >= settings.limits().maxAttempts()) {
             return Ruling.ATTEMPTS_SPENT;
         }
         return now >= request.deadline ? Ruling.DEADLINE_PASSED : Ruling.ALLOWED;
@@ -148,11 +148,11 @@
      */
     private boolean isStale(Attempt attempt, long now) {
         RequestClass requestClass = attempt.request.requestClass;
-        return requestClass.need() == Need.BOUNDED
+        return requestClass.consistency() == Consistency.BOUNDED
                 && now - attempt.createdAt > DECISION_VALIDITY_NANOS
-                && settings.replication().check() == Check.NONE
+                && settings.replication().stalenessCheck() == StalenessCheck.NONE
                 && attempt.server.role != Role.PRIMARY
-                && attempt.server.position < now - requestClass.bound();
+                && attempt.server.position < now - requestClass.maxStaleness();
     }
 
     /**
@@ -172,7 +172,7 @@
      * it again. This happens when connections are established late or windows are short.
      */
     private boolean isRepeatWindowOver(Attempt attempt, long now) {
-        if (attempt.number == 0 || attempt.request.requestClass.effect() != Gateway.Effect.KEYED) {
+        if (attempt.number == 0 || attempt.request.requestClass.idempotency() != Gateway.Idempotency.KEYED) {
             return false;
         }
         long window =
@@ -188,7 +188,7 @@
         if (request.isOver) {
             return Ruling.ANSWERED_TWICE;
         }
-        boolean mayHaveRun = request.requestClass.effect() == Effect.UNSAFE
+        boolean mayHaveRun = request.requestClass.idempotency() == Idempotency.UNSAFE
                 && request.attempts.stream().anyMatch(Attempt::mayHaveRunByNow);
         return answer instanceof Answer.Refused && mayHaveRun ? Ruling.REFUSED_THOUGH_IT_MAY_HAVE_RUN : Ruling.ALLOWED;
     }
--- a/router/src/main/java/stoatrill/core/ServerDirectory.java
+++ b/router/src/main/java/stoatrill/core/ServerDirectory.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import stoatrill.Gateway.ListEntry;
 import stoatrill.Gateway.ListKind;
-import stoatrill.Gateway.Member;
-import stoatrill.Gateway.State;
+import stoatrill.Gateway.ListedState;
 
 /**
  * The servers that the server list has named: their ids, addresses and groups, and since when each has been leaving. It
@@ -36,8 +36,8 @@
     }
 
     /** Applies a list, changes to it or the failure to get either; returns the entries as the module's members. */
-    List<Member> update(long now, ListKind kind, List<ServerEntry> entries) {
-        List<Member> members = new ArrayList<>(entries.size());
+    List<ListEntry> update(long now, ListKind kind, List<ServerEntry> entries) {
+        List<ListEntry> members = new ArrayList<>(entries.size());
         for (ServerEntry entry : entries) {
             members.add(update(now, entry));
         }
@@ -46,26 +46,26 @@
         }
         nextNewsMayBeOld = switch (kind) {
             case SILENT, FAILED -> true;
-            case CACHED -> !setup.settings().asked();
+            case CACHED -> !setup.settings().listOnRequest();
             case DELTA, FULL -> false;
         };
         return members;
     }
 
-    private Member update(long now, ServerEntry entry) {
+    private ListEntry update(long now, ServerEntry entry) {
         ServerPool.Server server = serversByUid.computeIfAbsent(entry.uid(), uid -> add(entry));
         knownGroups.add(entry.group());
         if (!server.endpoint.equals(entry.endpoint())) {
             pool.closeIdleConnections(server);
             server.endpoint = entry.endpoint();
         }
-        server.isListed = entry.state() != State.GONE;
-        setLeaving(now, server, entry.state() == State.DRAINING || (!server.isListed && isRemovalBinding()));
+        server.isListed = entry.state() != ListedState.GONE;
+        setLeaving(now, server, entry.state() == ListedState.DRAINING || (!server.isListed && isRemovalBinding()));
         if (!server.isListed) {
             pool.closeIdleConnections(server);
         }
         long startedAt = entry.bootMillis() <= 0 ? 0 : Math.min(now, clocks.fromWallMillis(entry.bootMillis()));
-        return new Member(
+        return new ListEntry(
                 server.id,
                 entry.group(),
                 indexOf(setup.zones(), entry.zone()),
--- a/router/src/main/java/stoatrill/core/ServerEntry.java
+++ b/router/src/main/java/stoatrill/core/ServerEntry.java
@@ -1,7 +1,7 @@
 package stoatrill.core;
 
 import java.net.InetSocketAddress;
-import stoatrill.Gateway.State;
+import stoatrill.Gateway.ListedState;
 
 /**
  * An entry of discovery's server list.
@@ -18,4 +18,4 @@
         double size,
         long bootMillis,
         boolean primary,
-        State state) {}
+        ListedState state) {}
--- a/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
+++ b/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
@@ -77,12 +77,14 @@
                             + grace
                             - holdOverrun
                             - RESERVE_NANOS
-                            - (settings.asked() ? MAX_QUEUE_NANOS : grace));
+                            - (settings.listOnRequest() ? MAX_QUEUE_NANOS : grace));
             long queueAndService = MAX_QUEUE_NANOS + Math.min(MAX_SERVICE_NANOS, grace - PROTOCOL_SLACK_NANOS);
-            long answerTimeout =
-                    settings.asked() ? queueAndService : Math.min(MAX_QUEUE_NANOS + MAX_SERVICE_NANOS, grace / 2);
+            long answerTimeout = settings.listOnRequest()
+                    ? queueAndService
+                    : Math.min(MAX_QUEUE_NANOS + MAX_SERVICE_NANOS, grace / 2);
             // Routers may be given the same seed.
-            return new Timing(!settings.asked(), maxHold, holdOverrun, answerTimeout, seed + settings.me());
+            return new Timing(
+                    !settings.listOnRequest(), maxHold, holdOverrun, answerTimeout, seed + settings.gatewayIndex());
         }
     }
 
--- a/router/src/main/java/stoatrill/discovery/ServerList.java
+++ b/router/src/main/java/stoatrill/discovery/ServerList.java
@@ -6,7 +6,7 @@
 import com.google.gson.JsonParser;
 import java.util.ArrayList;
 import java.util.List;
-import stoatrill.Gateway.State;
+import stoatrill.Gateway.ListedState;
 import stoatrill.config.ConfigException;
 import stoatrill.config.Endpoint;
 import stoatrill.core.ServerEntry;
@@ -55,11 +55,11 @@
     }
 
     private static ServerEntry parseEntry(JsonObject object) throws ConfigException {
-        State state =
+        ListedState state =
                 switch (requiredField(object, "state").getAsString()) {
-                    case "Terminating" -> State.DRAINING;
-                    case "Gone" -> State.GONE;
-                    default -> State.READY;
+                    case "Terminating" -> ListedState.DRAINING;
+                    case "Gone" -> ListedState.GONE;
+                    default -> ListedState.READY;
                 };
         return new ServerEntry(
                 requiredField(object, "uid").getAsString(),
--- a/router/src/main/java/stoatrill/net/EventLoop.java
+++ b/router/src/main/java/stoatrill/net/EventLoop.java
@@ -247,7 +247,7 @@
         this.poller = new Poller(systemCalls);
         this.listener = new Listener(systemCalls, poller, config.listen(), BACKLOG_LIMIT);
         reducer.members(now(), Gateway.ListKind.CACHED, knownList.entries());
-        if (config.settings().asked()) {
+        if (config.settings().listOnRequest()) {
             isReady = !knownList.entries().isEmpty();
         } else {
             // With pushed lists the module requests none; over sockets they arrive through a watch on the agent.
@@ -492,7 +492,7 @@
         if (stopPhase == StopPhase.NONE) {
             stopPhase = StopPhase.SERVING;
             long longestGiveUpNanos = config.settings().classes().stream()
-                    .mapToLong(c -> c.giveUp())
+                    .mapToLong(c -> c.clientTimeout())
                     .max()
                     .orElse(0);
             // Clients are still served for a while: closing all connections now would send every client to the other
--- a/router/src/main/java/stoatrill/wire/Loop.java
+++ b/router/src/main/java/stoatrill/wire/Loop.java
@@ -21,7 +21,7 @@
     private final OutputStream output;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Gateway.Member>> memberLists = new ArrayList<>();
+    private final List<List<Gateway.ListEntry>> memberLists = new ArrayList<>();
 
     /** Creates a loop over these streams, which it does not close. */
     public Loop(InputStream input, OutputStream output) {
@@ -88,7 +88,7 @@
             throw input.malformed("invalid list number " + slot);
         }
         int count = input.count(MEMBER_BYTES);
-        List<Gateway.Member> members = new ArrayList<>(count);
+        List<Gateway.ListEntry> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             boolean isPrimary = input.f32() == 1f;
             int model = input.u8();
@@ -98,7 +98,7 @@
             long server = input.server();
             int group = input.u16();
             int state = input.u8();
-            members.add(new Gateway.Member(
+            members.add(new Gateway.ListEntry(
                     server,
                     group,
                     zone,
@@ -107,9 +107,9 @@
                     startedAt,
                     isPrimary,
                     switch (state) {
-                        case 0 -> Gateway.State.READY;
-                        case 2 -> Gateway.State.DRAINING;
-                        case 3 -> Gateway.State.GONE;
+                        case 0 -> Gateway.ListedState.READY;
+                        case 2 -> Gateway.ListedState.DRAINING;
+                        case 3 -> Gateway.ListedState.GONE;
                         default -> throw input.malformed("unknown server state " + state);
                     }));
         }
@@ -130,15 +130,15 @@
                             default -> throw input.malformed("unknown list kind " + kindCode);
                         };
                 long slot = input.u32Long();
-                List<Gateway.Member> members = List.of();
+                List<Gateway.ListEntry> members = List.of();
                 if (kind != Gateway.ListKind.FAILED) {
                     members = slot < LIST_SLOT_COUNT ? memberLists.get((int) slot) : null;
                     if (members == null) {
                         throw input.malformed("no list with number " + slot);
                     }
                 }
-                List<Gateway.Member> list = members;
-                instance.runGuarded(() -> instance.module.members(now, kind, list));
+                List<Gateway.ListEntry> list = members;
+                instance.runGuarded(() -> instance.module.onServerList(now, kind, list));
             }
             case 30 -> { // request
                 long id = input.u64();
@@ -156,7 +156,7 @@
                 if (tenant > 0 && tenant >= instance.settings.tenants().size()) {
                     throw input.malformed("unknown tenant " + tenant);
                 }
-                instance.runGuarded(() -> instance.module.request(
+                instance.runGuarded(() -> instance.module.onRequest(
                         now, id, key, group, deadline, tokenAge, (flags & 2) != 0, kind, tenant));
             }
             case 40 -> { // streamed answer has begun
@@ -164,7 +164,7 @@
                 input.u64();
                 int attempt = input.u8();
                 long server = input.server();
-                instance.runGuarded(() -> instance.module.begun(now, id, attempt, server));
+                instance.runGuarded(() -> instance.module.onAnswerBegun(now, id, attempt, server));
             }
             case 50 -> { // outcome of an attempt
                 long id = input.u64();
@@ -179,28 +179,28 @@
                         ? Gateway.NO_POSITION
                         : instance.positionOrigin + (positionAndRole >>> 2) * NANOS_PER_MILLI;
                 Gateway.Role role = role((int) (positionAndRole & 3));
-                instance.runGuarded(() -> instance.module.outcome(
+                instance.runGuarded(() -> instance.module.onAttemptEnded(
                         now, id, attempt, server, result, tookNanos, isRequestOver, position, role, report));
             }
             case 60 -> { // client has left
                 long id = input.u64();
-                instance.runGuarded(() -> instance.module.left(now, id));
+                instance.runGuarded(() -> instance.module.onClientLeft(now, id));
             }
             case 70 -> { // timer is due
                 long token = input.u64();
-                instance.runGuarded(() -> instance.module.timer(now, token));
+                instance.runGuarded(() -> instance.module.onTimer(now, token));
             }
             case 80 -> { // result of a probe
                 long server = input.server();
                 long tookNanos = input.u64();
                 Gateway.Result result = result(input.u16());
                 Gateway.Report report = instance.report(input.report());
-                instance.runGuarded(() -> instance.module.probed(now, server, tookNanos, result, report));
+                instance.runGuarded(() -> instance.module.onProbeEnded(now, server, tookNanos, result, report));
             }
             case 90 -> { // message from a peer
                 int from = input.u32();
                 byte[] message = input.bytes(input.u16());
-                instance.runGuarded(() -> instance.module.peer(now, from, message));
+                instance.runGuarded(() -> instance.module.onPeerMessage(now, from, message));
             }
             default -> throw input.malformed("unknown event code " + code);
         }
@@ -277,7 +277,7 @@
         }
 
         @Override
-        public void send(long request, long server, long timeoutNanos) {
+        public void sendAttempt(long request, long server, long timeoutNanos) {
             reply.send(number, request, server, timeoutNanos);
         }
 
@@ -292,37 +292,37 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) {
+        public void cancelAttempt(long request, int attempt) {
             reply.cancel(number, request, attempt);
         }
 
         @Override
-        public void timer(long delayNanos, long token) {
+        public void startTimer(long delayNanos, long token) {
             reply.timer(number, delayNanos, token);
         }
 
         @Override
-        public void probe(long server) {
+        public void probeServer(long server) {
             reply.probe(number, server);
         }
 
         @Override
-        public void dropIdle(long server) {
+        public void closeIdleConnections(long server) {
             reply.dropIdle(number, server);
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendToPeer(int peer, byte[] message) {
             reply.tell(number, peer, message);
         }
 
         @Override
-        public void follow(boolean enabled) {
+        public void watchServerList(boolean enabled) {
             reply.follow(number, enabled);
         }
 
         @Override
-        public void fetch() {
+        public void fetchServerList() {
             reply.fetch(number);
         }
 
--- a/router/src/main/java/stoatrill/wire/SettingsParser.java
+++ b/router/src/main/java/stoatrill/wire/SettingsParser.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import stoatrill.Gateway.Check;
-import stoatrill.Gateway.Effect;
+import stoatrill.Gateway.Consistency;
+import stoatrill.Gateway.DeduplicationScope;
+import stoatrill.Gateway.Idempotency;
 import stoatrill.Gateway.Limits;
 import stoatrill.Gateway.ListedRole;
-import stoatrill.Gateway.Need;
 import stoatrill.Gateway.Replication;
 import stoatrill.Gateway.RequestClass;
 import stoatrill.Gateway.Rules;
-import stoatrill.Gateway.Scope;
 import stoatrill.Gateway.Settings;
+import stoatrill.Gateway.StalenessCheck;
 import stoatrill.Gateway.Tenant;
 
 /** Parses the path=value lines of the settings into records. Unknown keys are skipped. */
@@ -88,13 +88,19 @@
         Replication replication = new Replication(
                 parseWord(
                         "familyInfo.serverChecks",
-                        Map.of("off", Check.NONE, "bounce", Check.REFUSE, "await", Check.WAIT)),
+                        Map.of(
+                                "off",
+                                StalenessCheck.NONE,
+                                "bounce",
+                                StalenessCheck.REFUSE,
+                                "await",
+                                StalenessCheck.WAIT)),
                 optionalWhole("familyInfo.holdsFor", 0),
                 requiredBoolean("familyInfo.progressTold"),
                 parseWord("familyInfo.tokenMode", Map.of("brought", true, "kept", false)),
                 parseWord(
                         "familyInfo.showsRole",
-                        Map.of("off", ListedRole.NONE, "trailing", ListedRole.LATE, "static", ListedRole.AT_START)),
+                        Map.of("off", ListedRole.NONE, "trailing", ListedRole.DELAYED, "static", ListedRole.AT_START)),
                 parseWord("report.how", Map.of("inline", true, "on_probe", false, "off", false)));
         Settings settings = new Settings(
                 (int) requiredWhole("me"),
@@ -138,23 +144,35 @@
                             levels[i],
                             Map.of(
                                     "mutate",
-                                    Need.WRITE,
+                                    Consistency.WRITE,
                                     "strong",
-                                    Need.FRESH,
+                                    Consistency.FRESH,
                                     "causal",
-                                    Need.SESSION,
+                                    Consistency.SESSION,
                                     "lag_bound",
-                                    Need.BOUNDED,
+                                    Consistency.BOUNDED,
                                     "eventual",
-                                    Need.ANY)),
+                                    Consistency.ANY)),
                     parseWhole("familyInfo.oldestData", bounds[i]),
                     parseWord(
                             path + "semantics",
-                            Map.of("pure", Effect.SAFE, "token", Effect.KEYED, "side_effect", Effect.UNSAFE)),
+                            Map.of(
+                                    "pure",
+                                    Idempotency.SAFE,
+                                    "token",
+                                    Idempotency.KEYED,
+                                    "side_effect",
+                                    Idempotency.UNSAFE)),
                     parseWord(
                             path + "group",
                             values.getOrDefault(path + "group", "all"),
-                            Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.GROUP)),
+                            Map.of(
+                                    "all",
+                                    DeduplicationScope.ALL,
+                                    "zone",
+                                    DeduplicationScope.ZONE,
+                                    "cell",
+                                    DeduplicationScope.GROUP)),
                     optionalWhole(path + "repeatWindow", 0),
                     "true".equals(values.get(path + "stream"))));
         }
--- a/router/src/test/java/stoatrill/DecideTest.java
+++ b/router/src/test/java/stoatrill/DecideTest.java
@@ -12,17 +12,17 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import stoatrill.Gateway.Check;
-import stoatrill.Gateway.Effect;
+import stoatrill.Gateway.DeduplicationScope;
+import stoatrill.Gateway.Idempotency;
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
-import stoatrill.Gateway.Scope;
+import stoatrill.Gateway.StalenessCheck;
 
 class DecideTest {
-    private RecordingGateway gateway = start(Effect.UNSAFE, Scope.GROUP);
+    private RecordingGateway gateway = start(Idempotency.UNSAFE, DeduplicationScope.GROUP);
 
-    private static RecordingGateway start(Effect effect, Scope scope) {
-        return RecordingGateway.start(RecordingGateway.settings(effect, scope, Check.NONE, true));
+    private static RecordingGateway start(Idempotency effect, DeduplicationScope scope) {
+        return RecordingGateway.start(RecordingGateway.settings(effect, scope, StalenessCheck.NONE, true));
     }
 
     // Choice of a server without overload or faults.
@@ -60,7 +60,8 @@
 
     @Test
     void triesLocalReplicaOfUnknownPositionWhenServersCheckReads() {
-        gateway = RecordingGateway.start(RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.WAIT, true));
+        gateway = RecordingGateway.start(
+                RecordingGateway.settings(Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.WAIT, true));
         gateway.request(BOUNDED);
         assertEquals(2, gateway.lastServer());
     }
@@ -69,7 +70,7 @@
     void avoidsBusyLocalReplica() {
         for (int i = 0; i < 40; i++) {
             long id = gateway.request(ANY);
-            gateway.module.outcome(
+            gateway.module.onAttemptEnded(
                     gateway.now,
                     id,
                     0,
@@ -111,8 +112,8 @@
 
     @Test
     void waitsForReportOfLocalReplicaWithOldPosition() {
-        gateway = RecordingGateway.start(
-                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway = RecordingGateway.start(RecordingGateway.settings(
+                Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true, true, 2));
         gateway.advance(2000);
         assertEquals(0, gateway.countActions("probe"), "probes without a request that needs one");
         gateway.request(BOUNDED);
@@ -124,8 +125,8 @@
 
     @Test
     void sendsReadElsewhereWhenReportDoesNotArrive() {
-        gateway = RecordingGateway.start(
-                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway = RecordingGateway.start(RecordingGateway.settings(
+                Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true, true, 2));
         gateway.serve(WRITE);
         gateway.sentTo.clear();
         gateway.now += 1100 * NANOS_PER_MILLI;
@@ -138,8 +139,8 @@
 
     @Test
     void doesNotTrustPrimaryKnownOnlyFromList() {
-        gateway = RecordingGateway.start(
-                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway = RecordingGateway.start(RecordingGateway.settings(
+                Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true, true, 2));
         long id = gateway.request(BOUNDED);
         gateway.advance(100);
         assertEquals(0, gateway.countActions("send " + id + " "));
@@ -150,22 +151,23 @@
 
     @Test
     void keepsWorthOfTenantBurstWithinAllowance() {
-        Gateway.Settings plain = RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true);
+        Gateway.Settings plain =
+                RecordingGateway.settings(Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true);
         gateway = RecordingGateway.start(new Gateway.Settings(
-                plain.me(),
-                plain.gateways(),
+                plain.gatewayIndex(),
+                plain.gatewayCount(),
                 plain.zone(),
                 plain.tick(),
-                plain.asked(),
-                plain.overShareWorth(),
+                plain.listOnRequest(),
+                plain.overAllowanceWorthFactor(),
                 plain.limits(),
                 plain.rules(),
                 plain.replication(),
                 plain.classes(),
-                List.of(new Gateway.Tenant("one", plain.gateways()))));
+                List.of(new Gateway.Tenant("one", plain.gatewayCount()))));
         for (int i = 0; i < 30; i++) {
             long id = gateway.request(ANY);
-            gateway.module.outcome(
+            gateway.module.onAttemptEnded(
                     gateway.now,
                     id,
                     0,
@@ -180,7 +182,7 @@
         }
         for (int i = 0; i < 2; i++) {
             long id = gateway.request(ANY);
-            gateway.module.outcome(
+            gateway.module.onAttemptEnded(
                     gateway.now,
                     id,
                     0,
@@ -200,24 +202,24 @@
 
     @Test
     void answersHeldRequestAtDeadline() {
-        gateway.module.members(gateway.now, Gateway.ListKind.FULL, List.of());
+        gateway.module.onServerList(gateway.now, Gateway.ListKind.FULL, List.of());
         gateway.now += 1000 * NANOS_PER_MILLI;
         long id = gateway.request(WRITE);
         assertEquals(0, gateway.countActions("send"));
         assertTrue(gateway.timers.contains(id));
         gateway.now += 1995 * NANOS_PER_MILLI;
-        gateway.module.timer(gateway.now, id);
-        gateway.module.timer(gateway.now, id);
+        gateway.module.onTimer(gateway.now, id);
+        gateway.module.onTimer(gateway.now, id);
         assertEquals(1, gateway.countActions("refuse " + id));
     }
 
     @Test
     void ignoresLateEventsOfEndedRequest() {
         long id = gateway.request(ANY);
-        gateway.module.left(gateway.now, id);
+        gateway.module.onClientLeft(gateway.now, id);
         gateway.outcome(id, 0, 2, Result.CANCELLED);
-        gateway.module.left(gateway.now, id);
-        gateway.module.timer(gateway.now, id);
+        gateway.module.onClientLeft(gateway.now, id);
+        gateway.module.onTimer(gateway.now, id);
         gateway.outcome(id, 0, 2, Result.OK);
         gateway.outcome(id, 0, 99, Result.OK);
         assertEquals(1, gateway.countActions("send"));
@@ -227,8 +229,8 @@
     @Test
     void doesNotCancelStreamThatHasBegun() {
         long id = gateway.request(ANY);
-        gateway.module.begun(gateway.now, id, 0, 2);
-        gateway.module.timer(gateway.now + 2000 * NANOS_PER_MILLI, id);
+        gateway.module.onAnswerBegun(gateway.now, id, 0, 2);
+        gateway.module.onTimer(gateway.now + 2000 * NANOS_PER_MILLI, id);
         assertEquals(0, gateway.countActions("cancel") + gateway.countActions("refuse") + gateway.countActions("fail"));
     }
 
@@ -237,7 +239,7 @@
     @Test
     void failsUnsafeWriteThatMayHaveRun() {
         for (Result result : List.of(Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED)) {
-            gateway = start(Effect.UNSAFE, Scope.GROUP);
+            gateway = start(Idempotency.UNSAFE, DeduplicationScope.GROUP);
             long id = gateway.request(WRITE);
             gateway.outcome(id, 0, 1, result);
             assertEquals(1, gateway.countActions("send"), "after " + result);
@@ -255,7 +257,7 @@
 
     @Test
     void retriesKeyedWriteOnlyWithinRepeatWindow() {
-        gateway = start(Effect.KEYED, Scope.GROUP);
+        gateway = start(Idempotency.KEYED, DeduplicationScope.GROUP);
         long early = gateway.request(WRITE);
         long late = gateway.request(WRITE);
         gateway.now += 500 * NANOS_PER_MILLI;
@@ -269,7 +271,7 @@
 
     @Test
     void refusesKeyedWriteThatMayHaveRunIfAllServersDropRepeats() {
-        gateway = start(Effect.KEYED, Scope.ALL);
+        gateway = start(Idempotency.KEYED, DeduplicationScope.ALL);
         long id = gateway.request(WRITE);
         gateway.now += 1500 * NANOS_PER_MILLI;
         gateway.outcome(id, 0, 1, Result.ERROR);
@@ -280,12 +282,12 @@
 
     @Test
     void sendsNothingToDrainingServer() {
-        gateway.module.members(
+        gateway.module.onServerList(
                 gateway.now,
                 Gateway.ListKind.DELTA,
                 List.of(
-                        new Gateway.Member(2, 0, 0, 0, 1, 0, false, Gateway.State.DRAINING),
-                        new Gateway.Member(1, 0, 0, 0, 1, 0, false, Gateway.State.DRAINING)));
+                        new Gateway.ListEntry(2, 0, 0, 0, 1, 0, false, Gateway.ListedState.DRAINING),
+                        new Gateway.ListEntry(1, 0, 0, 0, 1, 0, false, Gateway.ListedState.DRAINING)));
         gateway.now += 500 * NANOS_PER_MILLI;
         gateway.request(ANY);
         assertTrue(gateway.lastServer() >= 3, "went to " + gateway.lastServer());
@@ -297,10 +299,10 @@
 
     @Test
     void limitsRequestsToStartedServer() {
-        gateway.module.members(
+        gateway.module.onServerList(
                 gateway.now,
                 Gateway.ListKind.DELTA,
-                List.of(new Gateway.Member(2, 0, 0, 0, 1, gateway.now, false, Gateway.State.READY)));
+                List.of(new Gateway.ListEntry(2, 0, 0, 0, 1, gateway.now, false, Gateway.ListedState.READY)));
         for (int i = 0; i < 100; i++) {
             gateway.now += 10 * NANOS_PER_MILLI;
             gateway.serve(ANY);
@@ -385,7 +387,7 @@
         for (int i = 0; i < 60; i++) {
             long id = gateway.request(ANY);
             gateway.now += 150 * NANOS_PER_MILLI;
-            gateway.module.outcome(
+            gateway.module.onAttemptEnded(
                     gateway.now, id, 0, 2, Result.OK, 150 * NANOS_PER_MILLI, true, gateway.now, Role.REPLICA, null);
         }
         gateway.request(ANY);
@@ -413,7 +415,7 @@
             long id = gateway.request(ANY);
             gateway.now += 200 * NANOS_PER_MILLI; // half of the aim: more than a read of little worth may take
             long server = gateway.lastServer();
-            gateway.module.outcome(
+            gateway.module.onAttemptEnded(
                     gateway.now,
                     id,
                     0,
@@ -436,7 +438,7 @@
             long id = gateway.request(ANY);
             long server = gateway.lastServer();
             gateway.now += 20 * NANOS_PER_MILLI;
-            gateway.module.outcome(
+            gateway.module.onAttemptEnded(
                     gateway.now,
                     id,
                     0,
@@ -512,8 +514,8 @@
 
     @Test
     void probesServerOfOverdueReadAndRetriesAfterBadReport() {
-        gateway = RecordingGateway.start(
-                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway = RecordingGateway.start(RecordingGateway.settings(
+                Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true, true, 2));
         long id = gateway.request(ANY);
         gateway.advance(240);
         assertEquals(1, gateway.countActions("probe 2"));
@@ -525,8 +527,8 @@
 
     @Test
     void doesNotRetryOverdueReadAfterGoodReport() {
-        gateway = RecordingGateway.start(
-                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway = RecordingGateway.start(RecordingGateway.settings(
+                Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true, true, 2));
         long id = gateway.request(ANY);
         gateway.advance(300);
         gateway.reportQueue(2, 0, 2);
@@ -536,8 +538,8 @@
 
     @Test
     void probesServerBeforeUseInImpairedZone() {
-        gateway = RecordingGateway.start(
-                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway = RecordingGateway.start(RecordingGateway.settings(
+                Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true, true, 2));
         gateway.reportQueue(2, 0, 1);
         for (int i = 0; i < 3; i++) {
             gateway.request(ANY);
@@ -556,21 +558,21 @@
 
     @Test
     void keepsDrainStateWhenOlderListContradicts() {
-        updateServerOfOtherGroup(11, Gateway.State.DRAINING);
-        updateServerOfOtherGroup(11, Gateway.State.READY);
+        updateServerOfOtherGroup(11, Gateway.ListedState.DRAINING);
+        updateServerOfOtherGroup(11, Gateway.ListedState.READY);
         gateway.now += 600 * NANOS_PER_MILLI;
-        gateway.module.request(gateway.now, 9000, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
+        gateway.module.onRequest(gateway.now, 9000, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
         assertEquals(0, gateway.countActions("send 9000 "));
     }
 
     @Test
     void forgetsUnlistedServerAfterOneMinute() {
-        updateServerOfOtherGroup(11, Gateway.State.GONE);
+        updateServerOfOtherGroup(11, Gateway.ListedState.GONE);
         gateway.now += 61_000 * NANOS_PER_MILLI;
-        gateway.module.members(gateway.now, Gateway.ListKind.DELTA, List.of());
-        gateway.module.probed(gateway.now, 11, NANOS_PER_MILLI, Result.OK, null);
-        updateServerOfOtherGroup(11, Gateway.State.READY);
-        gateway.module.request(gateway.now, 9000, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
+        gateway.module.onServerList(gateway.now, Gateway.ListKind.DELTA, List.of());
+        gateway.module.onProbeEnded(gateway.now, 11, NANOS_PER_MILLI, Result.OK, null);
+        updateServerOfOtherGroup(11, Gateway.ListedState.READY);
+        gateway.module.onRequest(gateway.now, 9000, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
         assertEquals(1, gateway.countActions("send 9000 to 11"));
     }
 
@@ -580,15 +582,17 @@
         long cold = 0;
         for (int g = 0; g < gateways; g++) {
             RecordingGateway one = RecordingGateway.start(
-                    RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, false, gateways), g);
+                    RecordingGateway.settings(
+                            Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true, false, gateways),
+                    g);
             for (int i = 0; i < 40; i++) {
                 one.advance(500);
                 one.serve(ANY);
             }
-            one.module.members(
+            one.module.onServerList(
                     one.now,
                     Gateway.ListKind.DELTA,
-                    List.of(new Gateway.Member(2, 0, 0, 0, 1, one.now, false, Gateway.State.READY)));
+                    List.of(new Gateway.ListEntry(2, 0, 0, 0, 1, one.now, false, Gateway.ListedState.READY)));
             one.sentTo.clear();
             for (int i = 0; i < 3; i++) {
                 one.advance(500);
@@ -601,8 +605,8 @@
 
     @Test
     void usesEjectedServerOnlyAfterGoodReport() {
-        gateway = RecordingGateway.start(
-                RecordingGateway.settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true, true, 2));
+        gateway = RecordingGateway.start(RecordingGateway.settings(
+                Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true, true, 2));
         for (int i = 0; i < 2; i++) {
             gateway.outcome(gateway.request(ANY), 0, 2, Result.ERROR);
         }
@@ -632,7 +636,7 @@
             gateway.advance(100);
             gateway.serve(ANY);
             gateway.advance(400);
-            gateway.module.left(gateway.now, stuck);
+            gateway.module.onClientLeft(gateway.now, stuck);
         }
         assertFalse(gateway.hasAction("log server rests: silence"));
     }
@@ -658,7 +662,7 @@
             for (int attempt = 0; attempt < 2; attempt++) {
                 long id = gateway.request(ANY);
                 gateway.outcome(id, 0, 2, Result.ERROR);
-                gateway.module.left(gateway.now, id);
+                gateway.module.onClientLeft(gateway.now, id);
             }
             while (gateway.serve(ANY) != 2) {
                 gateway.advance(10);
@@ -673,7 +677,7 @@
         for (int i = 0; i < 60; i++) {
             long id = gateway.request(ANY);
             gateway.outcome(id, 0, gateway.lastServer(), Result.ERROR);
-            gateway.module.left(gateway.now, id);
+            gateway.module.onClientLeft(gateway.now, id);
         }
         assertTrue(gateway.countActions("log server rests") <= 2);
         long id = gateway.request(ANY);
@@ -682,13 +686,13 @@
 
     @Test
     void doesNotRepeatKeyedCopyOutsideWindowOfPendingAttempt() {
-        gateway = start(Effect.KEYED, Scope.GROUP);
+        gateway = start(Idempotency.KEYED, DeduplicationScope.GROUP);
         for (int i = 0; i < 20; i++) {
             gateway.serve(WRITE);
         }
         long first = gateway.request(WRITE);
         for (int i = 0; i < 2; i++) {
-            gateway.module.left(gateway.now, gateway.request(WRITE));
+            gateway.module.onClientLeft(gateway.now, gateway.request(WRITE));
             long failed = gateway.request(WRITE);
             gateway.outcome(failed, 0, 1, Result.ERROR);
         }
@@ -718,14 +722,14 @@
 
     @Test
     void judgesUnusedServerByLatencyOfGroup() {
-        updateServerOfOtherGroup(11, Gateway.State.READY);
+        updateServerOfOtherGroup(11, Gateway.ListedState.READY);
         for (int i = 0; i < 301; i++) {
             gateway.advance(50);
             gateway.serve(SESSION);
             if (i % 10 == 0) {
-                gateway.module.request(
+                gateway.module.onRequest(
                         gateway.now, 9000 + i, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, SESSION, 0);
-                gateway.module.outcome(
+                gateway.module.onAttemptEnded(
                         gateway.now,
                         9000 + i,
                         0,
@@ -738,17 +742,19 @@
                         null);
             }
         }
-        updateServerOfOtherGroup(11, Gateway.State.GONE);
-        updateServerOfOtherGroup(13, Gateway.State.READY);
-        gateway.module.request(gateway.now, 9999, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
+        updateServerOfOtherGroup(11, Gateway.ListedState.GONE);
+        updateServerOfOtherGroup(13, Gateway.ListedState.READY);
+        gateway.module.onRequest(gateway.now, 9999, 5, 1, gateway.now + 2000 * NANOS_PER_MILLI, 0, false, ANY, 0);
         assertTrue(gateway.hasAction("refuse 9999"), "sent to a new member of a slow group");
         long id = gateway.request(ANY);
         assertEquals(1, gateway.countActions("send " + id + " "), "the other group is not slow");
     }
 
-    private void updateServerOfOtherGroup(long server, Gateway.State state) {
-        gateway.module.members(
-                gateway.now, Gateway.ListKind.DELTA, List.of(new Gateway.Member(server, 1, 0, 0, 1, 0, false, state)));
+    private void updateServerOfOtherGroup(long server, Gateway.ListedState state) {
+        gateway.module.onServerList(
+                gateway.now,
+                Gateway.ListKind.DELTA,
+                List.of(new Gateway.ListEntry(server, 1, 0, 0, 1, 0, false, state)));
     }
 
     @Test
@@ -756,7 +762,7 @@
         for (int i = 0; i < 80; i++) {
             long id = gateway.request(ANY);
             if (gateway.hasAction("send " + id + " to " + gateway.lastServer())) {
-                gateway.module.outcome(
+                gateway.module.onAttemptEnded(
                         gateway.now,
                         id,
                         0,
@@ -795,10 +801,10 @@
     @Test
     void growsBudgetsWhenAllServersAreCold() {
         for (long server = 1; server <= 4; server++) {
-            gateway.module.members(
+            gateway.module.onServerList(
                     gateway.now,
                     Gateway.ListKind.DELTA,
-                    List.of(new Gateway.Member(server, 0, 0, 0, 1, gateway.now, false, Gateway.State.READY)));
+                    List.of(new Gateway.ListEntry(server, 0, 0, 0, 1, gateway.now, false, Gateway.ListedState.READY)));
         }
         for (int i = 0; i < 400; i++) {
             long id = gateway.request(ANY);
@@ -824,23 +830,23 @@
     void replacedServersDoNotReduceBudgetOfColdServer() {
         long fewer = countReadsToColdServer(0);
         assertTrue(fewer > 2, fewer + " reads to the cold server");
-        gateway = start(Effect.UNSAFE, Scope.GROUP);
+        gateway = start(Idempotency.UNSAFE, DeduplicationScope.GROUP);
         assertEquals((double) fewer, (double) countReadsToColdServer(40), 1.0);
     }
 
     private long countReadsToColdServer(int replaced) {
         for (int i = 0; i < replaced; i++) {
-            for (Gateway.State state : List.of(Gateway.State.READY, Gateway.State.GONE)) {
-                gateway.module.members(
+            for (Gateway.ListedState state : List.of(Gateway.ListedState.READY, Gateway.ListedState.GONE)) {
+                gateway.module.onServerList(
                         gateway.now,
                         Gateway.ListKind.DELTA,
-                        List.of(new Gateway.Member(20 + i, 0, 0, 0, 1, 0, false, state)));
+                        List.of(new Gateway.ListEntry(20 + i, 0, 0, 0, 1, 0, false, state)));
             }
         }
-        gateway.module.members(
+        gateway.module.onServerList(
                 gateway.now,
                 Gateway.ListKind.DELTA,
-                List.of(new Gateway.Member(2, 0, 0, 0, 1, gateway.now, false, Gateway.State.READY)));
+                List.of(new Gateway.ListEntry(2, 0, 0, 0, 1, gateway.now, false, Gateway.ListedState.READY)));
         for (int i = 0; i < 200; i++) {
             gateway.serve(ANY);
             gateway.advance(10);
@@ -854,12 +860,12 @@
     void watchesMovedListAtOnceAndResetsBackoff() {
         gateway = RecordingGateway.start(RecordingGateway.settingsWithListOnRequest());
         for (int i = 0; i < 5; i++) {
-            gateway.module.members(gateway.now, Gateway.ListKind.FAILED, List.of());
+            gateway.module.onServerList(gateway.now, Gateway.ListKind.FAILED, List.of());
         }
         gateway.actions.clear();
-        gateway.module.listMoved(gateway.now);
+        gateway.module.onDiscoveryMoved(gateway.now);
         assertTrue(gateway.hasAction("follow true"));
-        gateway.module.members(gateway.now, Gateway.ListKind.FAILED, List.of());
+        gateway.module.onServerList(gateway.now, Gateway.ListKind.FAILED, List.of());
         gateway.actions.clear();
         gateway.advance(760);
         assertTrue(gateway.hasAction("follow true"), "the wait after a first failure");
@@ -869,7 +875,7 @@
     void retriesPushedListWithinDrainGraceAfterAnyNumberOfFailures() {
         for (int i = 0; i < 9; i++) {
             gateway.actions.clear();
-            gateway.module.members(gateway.now, Gateway.ListKind.FAILED, List.of());
+            gateway.module.onServerList(gateway.now, Gateway.ListKind.FAILED, List.of());
             gateway.advance(250); // half of the grace
             assertTrue(gateway.hasAction("follow true"), "after " + (i + 1) + " failures");
         }
@@ -877,8 +883,8 @@
 
     @Test
     void requestsListAgainAfterFailure() {
-        gateway.module.members(gateway.now, Gateway.ListKind.FAILED, List.of());
-        gateway.module.timer(gateway.now + 800 * NANOS_PER_MILLI, Long.MIN_VALUE + 1);
+        gateway.module.onServerList(gateway.now, Gateway.ListKind.FAILED, List.of());
+        gateway.module.onTimer(gateway.now + 800 * NANOS_PER_MILLI, Long.MIN_VALUE + 1);
         assertTrue(gateway.hasAction("follow true"));
     }
 
@@ -890,7 +896,7 @@
     }
 
     private static List<String> actionsOfBusyDay() {
-        RecordingGateway gateway = start(Effect.KEYED, Scope.GROUP);
+        RecordingGateway gateway = start(Idempotency.KEYED, DeduplicationScope.GROUP);
         List<Result> results = List.of(Result.values());
         for (int i = 0; i < 500; i++) {
             long id = gateway.request(i % 4, i % 13);
--- a/router/src/test/java/stoatrill/EmbeddingExampleTest.java
+++ b/router/src/test/java/stoatrill/EmbeddingExampleTest.java
@@ -20,13 +20,13 @@
         private long now = 1_000_000_000L;
         private Events module;
 
-        void start(Settings settings, List<Member> servers) {
+        void start(Settings settings, List<ListEntry> servers) {
             module = new Decide(this, settings, 42);
-            module.members(now, ListKind.CACHED, servers);
+            module.onServerList(now, ListKind.CACHED, servers);
         }
 
         void request(long id, int classIndex) {
-            module.request(now, id, 0, 0, now + 2_000_000_000L, 0, false, classIndex, 0);
+            module.onRequest(now, id, 0, 0, now + 2_000_000_000L, 0, false, classIndex, 0);
         }
 
         void run(long span) {
@@ -40,11 +40,11 @@
         }
 
         @Override
-        public void send(long request, long server, long timeout) {
+        public void sendAttempt(long request, long server, long timeout) {
             usedServers.add(server);
             pendingTasks.add(new Task(
                     now + 20_000_000L,
-                    () -> module.outcome(
+                    () -> module.onAttemptEnded(
                             now,
                             request,
                             0,
@@ -58,8 +58,8 @@
         }
 
         @Override
-        public void timer(long delay, long token) {
-            pendingTasks.add(new Task(now + delay, () -> module.timer(now, token)));
+        public void startTimer(long delay, long token) {
+            pendingTasks.add(new Task(now + delay, () -> module.onTimer(now, token)));
         }
 
         @Override
@@ -69,22 +69,22 @@
         public void fail(long request) {}
 
         @Override
-        public void cancel(long request, int attempt) {}
+        public void cancelAttempt(long request, int attempt) {}
 
         @Override
-        public void probe(long server) {}
+        public void probeServer(long server) {}
 
         @Override
-        public void dropIdle(long server) {}
+        public void closeIdleConnections(long server) {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
-        public void follow(boolean enabled) {}
+        public void watchServerList(boolean enabled) {}
 
         @Override
-        public void fetch() {}
+        public void fetchServerList() {}
 
         @Override
         public void log(String line) {}
@@ -94,7 +94,8 @@
     void sendsWriteToPrimaryAndReadToLocalReplica() {
         TinyGateway gateway = new TinyGateway();
         gateway.start(
-                RecordingGateway.settings(Gateway.Effect.KEYED, Gateway.Scope.GROUP, Gateway.Check.NONE, true),
+                RecordingGateway.settings(
+                        Gateway.Idempotency.KEYED, Gateway.DeduplicationScope.GROUP, Gateway.StalenessCheck.NONE, true),
                 List.of(
                         RecordingGateway.member(1, 0, true),
                         RecordingGateway.member(2, 0, false),
--- a/router/src/test/java/stoatrill/RecordingGateway.java
+++ b/router/src/test/java/stoatrill/RecordingGateway.java
@@ -30,7 +30,7 @@
     static RecordingGateway start(Settings settings, long seed) {
         RecordingGateway gateway = new RecordingGateway();
         gateway.module = new Decide(gateway, settings, seed);
-        gateway.module.members(
+        gateway.module.onServerList(
                 gateway.now,
                 ListKind.CACHED,
                 List.of(member(1, 0, true), member(2, 0, false), member(3, 1, false), member(4, 1, false)));
@@ -38,21 +38,26 @@
         return gateway;
     }
 
-    static Member member(long server, int zone, boolean primary) {
-        return new Member(server, 0, zone, 0, 1, 0, primary, State.READY);
+    static ListEntry member(long server, int zone, boolean primary) {
+        return new ListEntry(server, 0, zone, 0, 1, 0, primary, ListedState.READY);
     }
 
-    static Settings settings(Effect effect, Scope scope, Check check, boolean secondCopies) {
+    static Settings settings(Idempotency effect, DeduplicationScope scope, StalenessCheck check, boolean secondCopies) {
         return settings(effect, scope, check, secondCopies, false, 2);
     }
 
     static Settings settings(
-            Effect effect, Scope scope, Check check, boolean secondCopies, boolean probes, int gateways) {
+            Idempotency effect,
+            DeduplicationScope scope,
+            StalenessCheck check,
+            boolean secondCopies,
+            boolean probes,
+            int gateways) {
         List<RequestClass> classes = List.of(
-                requestClass("write", 600, 3, Need.WRITE, 0, effect, scope),
-                requestClass("session", 500, 2, Need.SESSION, 0, Effect.SAFE, Scope.ALL),
-                requestClass("bounded", 300, 1, Need.BOUNDED, 1000, Effect.SAFE, Scope.ALL),
-                requestClass("any", 400, 1, Need.ANY, 0, Effect.SAFE, Scope.ALL));
+                requestClass("write", 600, 3, Consistency.WRITE, 0, effect, scope),
+                requestClass("session", 500, 2, Consistency.SESSION, 0, Idempotency.SAFE, DeduplicationScope.ALL),
+                requestClass("bounded", 300, 1, Consistency.BOUNDED, 1000, Idempotency.SAFE, DeduplicationScope.ALL),
+                requestClass("any", 400, 1, Consistency.ANY, 0, Idempotency.SAFE, DeduplicationScope.ALL));
         return new Settings(
                 0,
                 gateways,
@@ -77,14 +82,14 @@
 
     /** The default settings with a list that comes only on request. */
     static Settings settingsWithListOnRequest() {
-        Settings usual = settings(Effect.UNSAFE, Scope.GROUP, Check.NONE, true);
+        Settings usual = settings(Idempotency.UNSAFE, DeduplicationScope.GROUP, StalenessCheck.NONE, true);
         return new Settings(
-                usual.me(),
-                usual.gateways(),
+                usual.gatewayIndex(),
+                usual.gatewayCount(),
                 usual.zone(),
                 usual.tick(),
                 true,
-                usual.overShareWorth(),
+                usual.overAllowanceWorthFactor(),
                 usual.limits(),
                 usual.rules(),
                 usual.replication(),
@@ -93,7 +98,13 @@
     }
 
     private static RequestClass requestClass(
-            String name, long aim, double worth, Need need, long bound, Effect effect, Scope scope) {
+            String name,
+            long aim,
+            double worth,
+            Consistency need,
+            long bound,
+            Idempotency effect,
+            DeduplicationScope scope) {
         return new RequestClass(
                 name,
                 aim * NANOS_PER_MILLI,
@@ -113,7 +124,7 @@
         for (long end = now + millis * NANOS_PER_MILLI; now < end; ) {
             now += 10 * NANOS_PER_MILLI;
             while (!pendingTimers.isEmpty() && pendingTimers.peek()[0] <= now) {
-                module.timer(now, pendingTimers.remove()[1]);
+                module.onTimer(now, pendingTimers.remove()[1]);
             }
         }
         return this;
@@ -126,7 +137,7 @@
 
     long request(int classIndex, long session) {
         long id = nextRequestId++;
-        module.request(now, id, session, 0, now + 2000 * NANOS_PER_MILLI, 0, false, classIndex, 0);
+        module.onRequest(now, id, session, 0, now + 2000 * NANOS_PER_MILLI, 0, false, classIndex, 0);
         return id;
     }
 
@@ -135,7 +146,7 @@
     }
 
     void outcome(long id, int attempt, long server, Result result, long position, Role role) {
-        module.outcome(
+        module.onAttemptEnded(
                 now, id, attempt, server, result, 50 * NANOS_PER_MILLI, result == Result.OK, position, role, null);
     }
 
@@ -149,12 +160,13 @@
 
     /** Delivers a report that a server has applied the log up to now. */
     void reportCurrentPosition(long server) {
-        module.probed(now, server, NANOS_PER_MILLI, Result.OK, new Report(now, Role.UNKNOWN, -1, -1));
+        module.onProbeEnded(now, server, NANOS_PER_MILLI, Result.OK, new Report(now, Role.UNKNOWN, -1, -1));
     }
 
     /** Delivers a report of a server on its queued requests and all requests at it. */
     void reportQueue(long server, double waiting, double held) {
-        module.probed(now, server, NANOS_PER_MILLI, Result.OK, new Report(NO_POSITION, Role.UNKNOWN, waiting, held));
+        module.onProbeEnded(
+                now, server, NANOS_PER_MILLI, Result.OK, new Report(NO_POSITION, Role.UNKNOWN, waiting, held));
     }
 
     long lastServer() {
@@ -170,7 +182,7 @@
     }
 
     @Override
-    public void send(long request, long server, long timeout) {
+    public void sendAttempt(long request, long server, long timeout) {
         actions.add("send " + request + " to " + server);
         sentTo.add(server);
     }
@@ -186,39 +198,39 @@
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         actions.add("cancel " + request + "/" + attempt);
     }
 
     @Override
-    public void timer(long delay, long token) {
+    public void startTimer(long delay, long token) {
         timers.add(token);
         pendingTimers.add(new long[] {now + delay, token});
         actions.add("timer " + token);
     }
 
     @Override
-    public void probe(long server) {
+    public void probeServer(long server) {
         actions.add("probe " + server);
     }
 
     @Override
-    public void dropIdle(long server) {
+    public void closeIdleConnections(long server) {
         actions.add("dropIdle " + server);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         actions.add("tell " + peer);
     }
 
     @Override
-    public void follow(boolean enabled) {
+    public void watchServerList(boolean enabled) {
         actions.add("follow " + enabled);
     }
 
     @Override
-    public void fetch() {
+    public void fetchServerList() {
         actions.add("fetch");
     }
 
--- a/router/src/test/java/stoatrill/contract/ContractsTest.java
+++ b/router/src/test/java/stoatrill/contract/ContractsTest.java
@@ -59,10 +59,10 @@
 
     @Test
     void refusesUnknownTeamOrMapsItToDefault() throws Exception {
-        assertEquals(-1, Contracts.parse("c", "team a {\n}\n").place("b"));
+        assertEquals(-1, Contracts.parse("c", "team a {\n}\n").indexOf("b"));
         Contracts contracts = Contracts.parse("c", "team a {\n team x {\n }\n}\nteam rest {\n}\nunknown team rest\n");
-        assertEquals(contracts.place("rest"), contracts.place("b"));
-        assertEquals("a.x", contracts.all().get(contracts.place("a.x")).path());
+        assertEquals(contracts.indexOf("rest"), contracts.indexOf("b"));
+        assertEquals("a.x", contracts.all().get(contracts.indexOf("a.x")).path());
     }
 
     /**
@@ -145,8 +145,8 @@
             now += step * NANOS_PER_MILLI;
             if (admits(refunded, 1, now)) {
                 refunded.charge(1, true, now);
-                refunded.giveBack(1, true, now);
-                refunded.giveBack(1, true, now);
+                refunded.refund(1, true, now);
+                refunded.refund(1, true, now);
             }
             assertEquals(plain.admit(1, true, now), refunded.admit(1, true, now));
             assertEquals(plain.spent(0, now), refunded.spent(0, now));
--- a/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
+++ b/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
@@ -93,7 +93,7 @@
             configText = configText.replaceFirst("127.0.0.1:9\", \"az\"", "127.0.0.1:" + port++ + "\", \"az\"");
         }
         Config config = Config.parse(configText, Map.of());
-        askWithinNanos = config.settings().rules().askWithin();
+        askWithinNanos = config.settings().rules().listCallGrace();
         Deadlines deadlines = new Deadlines();
         reducer = new Reducer(
                 this,
--- a/router/src/test/java/stoatrill/core/EndingTest.java
+++ b/router/src/test/java/stoatrill/core/EndingTest.java
@@ -26,8 +26,8 @@
         return (Gateway.Events) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {Gateway.Events.class}, (self, method, arguments) -> {
                     switch (method.getName()) {
-                        case "request" -> openRequests.add((Long) arguments[1]);
-                        case "left" -> openRequests.remove((Long) arguments[1]);
+                        case "onRequest" -> openRequests.add((Long) arguments[1]);
+                        case "onClientLeft" -> openRequests.remove((Long) arguments[1]);
                         default -> {}
                     }
                     return null;
--- a/router/src/test/java/stoatrill/core/RequestGateTest.java
+++ b/router/src/test/java/stoatrill/core/RequestGateTest.java
@@ -66,7 +66,7 @@
     @Test
     void deniesMoreAttemptsThanTheSettingsAllow() {
         Request request = newRequest("archive");
-        for (int n = 0; n < settings.limits().attempts(); n++) {
+        for (int n = 0; n < settings.limits().maxAttempts(); n++) {
             assertEquals(Ruling.ALLOWED, gate.checkBegin(newAttempt(request), START_TIME));
         }
         assertEquals(Ruling.ATTEMPTS_SPENT, gate.checkBegin(newAttempt(request), START_TIME));
@@ -75,7 +75,7 @@
     @Test
     void deniesADelayedBoundedReadIfTheDataIsTooOld() {
         Attempt attempt = newAttempt(newRequest("recent"));
-        long bound = attempt.request.requestClass.bound();
+        long bound = attempt.request.requestClass.maxStaleness();
         replica.position = SEND_TIME - bound;
         assertEquals(Ruling.ALLOWED, gate.checkSend(attempt, SEND_TIME));
         replica.position = SEND_TIME - bound - 1;
