--- a/lab/src/main/java/stoatrill/lab/scale/faketime/ModelRouter.java
+++ b/lab/src/main/java/stoatrill/lab/scale/faketime/ModelRouter.java
@@ -8,7 +8,7 @@
 import stoatrill.Gateway.ListKind;
 import stoatrill.core.Answer;
 import stoatrill.core.Clocks;
-import stoatrill.core.Deadlines;
+import stoatrill.core.DeadlineQueue;
 import stoatrill.core.Effects;
 import stoatrill.core.Reducer;
 import stoatrill.core.ServerEntry;
@@ -34,7 +34,7 @@
 
     private final EventWheel time;
     private final DiscoveryModel discovery;
-    private final Deadlines deadlines = new Deadlines();
+    private final DeadlineQueue deadlines = new DeadlineQueue();
     private final Reducer reducer;
     private final DiscoveryClient client;
     private int connection;
@@ -81,7 +81,7 @@
 
     /** Begins with what it holds, and follows the list. */
     void start() {
-        run(() -> reducer.members(time.now(), ListKind.CACHED, List.of()));
+        run(() -> reducer.onServerList(time.now(), ListKind.CACHED, List.of()));
     }
 
     /** Its process is gone. */
@@ -118,7 +118,7 @@
 
     private void run(Runnable event) {
         event.run();
-        long next = deadlines.next();
+        long next = deadlines.nextDueAt();
         if (next < wakeAt) {
             wakeAt = next;
             time.at(next, () -> wake(next));
@@ -128,7 +128,7 @@
     private void wake(long at) {
         if (!stopped && at == wakeAt) {
             wakeAt = Long.MAX_VALUE;
-            run(() -> reducer.tick(time.now()));
+            run(() -> reducer.runDueDeadlines(time.now()));
         }
     }
 
@@ -199,10 +199,10 @@
 
     @Override
     public void members(long now, ListKind kind, List<ServerEntry> entries) {
-        known = entries.stream().mapToLong(ServerEntry::bootMillis).reduce(known, Math::max);
+        known = entries.stream().mapToLong(ServerEntry::startedAtMillis).reduce(known, Math::max);
         List<ServerEntry> handed = entries.subList(0, Math.min(HANDED_ON, entries.size()));
         // A part of the whole list is no whole list: as changes, it takes nothing from what is held.
-        reducer.members(now, kind == ListKind.FULL ? ListKind.DELTA : kind, handed);
+        reducer.onServerList(now, kind == ListKind.FULL ? ListKind.DELTA : kind, handed);
         if (kind == ListKind.FULL && !hasList) {
             hasList = true;
             onList.run();
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchServerList(boolean on) {
         time.at(time.now(), () -> {
             if (!stopped) {
                 run(() -> client.follow(time.now(), on));
@@ -219,7 +219,7 @@
     }
 
     @Override
-    public void fetch() {
+    public void fetchServerList() {
         time.at(time.now(), () -> {
             if (!stopped) {
                 run(() -> client.fetch(time.now()));
@@ -233,22 +233,22 @@
     // ---- Statements and databases: none ----
 
     @Override
-    public void open(long id, InetSocketAddress endpoint) {}
+    public void openConnection(long id, InetSocketAddress endpoint) {}
 
     @Override
-    public void query(long id, Statement statement, long waitMillis) {}
+    public void sendQuery(long id, Statement statement, long waitMillis) {}
 
     @Override
-    public boolean quiet(long id) {
+    public boolean hasNoUnreadData(long id) {
         return true;
     }
 
     @Override
-    public void probe(long id) {}
+    public void sendProbe(long id) {}
 
     @Override
-    public void close(long id) {}
+    public void closeConnection(long id) {}
 
     @Override
-    public void answer(long from, long slot, Answer answer) {}
+    public void answerClient(long from, long slot, Answer answer) {}
 }
--- a/lab/src/main/java/stoatrill/lab/scale/faketime/ProbeBytes.java
+++ b/lab/src/main/java/stoatrill/lab/scale/faketime/ProbeBytes.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import stoatrill.core.Break;
+import stoatrill.core.DisconnectCause;
 import stoatrill.core.ServerAnswer;
 import stoatrill.net.ServerProtocol;
 import stoatrill.pg.PgServer;
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public void broken(Break how) {}
+        public void broken(DisconnectCause how) {}
     }
 
     private static byte[] greeting() {
--- a/lab/src/main/java/stoatrill/lab/scale/hollow/Awaited.java
+++ b/lab/src/main/java/stoatrill/lab/scale/hollow/Awaited.java
@@ -18,7 +18,7 @@
     /** What the list will say of a server. */
     private record Expected(ListedState state, boolean primary) {
         boolean met(ServerEntry entry) {
-            return entry.state() == state && entry.primary() == primary;
+            return entry.state() == state && entry.isPrimary() == primary;
         }
     }
 
--- a/lab/src/main/java/stoatrill/lab/scale/hollow/HollowRouter.java
+++ b/lab/src/main/java/stoatrill/lab/scale/hollow/HollowRouter.java
@@ -11,7 +11,7 @@
 import stoatrill.config.Config;
 import stoatrill.core.Answer;
 import stoatrill.core.Clocks;
-import stoatrill.core.Deadlines;
+import stoatrill.core.DeadlineQueue;
 import stoatrill.core.Effects;
 import stoatrill.core.Reducer;
 import stoatrill.core.ServerEntry;
@@ -31,7 +31,7 @@
     private final Selector selector;
     private final HollowTally tally;
     private final Clocks clocks;
-    private final Deadlines deadlines = new Deadlines();
+    private final DeadlineQueue deadlines = new DeadlineQueue();
     private final ModelServers servers;
     private final ModelClients clients;
     private final Reducer reducer;
@@ -80,17 +80,17 @@
     }
 
     private long now() {
-        return clocks.now(System.nanoTime());
+        return clocks.toModuleTime(System.nanoTime());
     }
 
     void start() {
-        reducer.members(now(), ListKind.CACHED, List.of());
+        reducer.onServerList(now(), ListKind.CACHED, List.of());
         compareClocks();
     }
 
     private void compareClocks() {
-        clocks.compare(wall(), System.nanoTime());
-        deadlines.at(now() + COMPARE_CLOCKS, this::compareClocks);
+        clocks.resync(wall(), System.nanoTime());
+        deadlines.schedule(now() + COMPARE_CLOCKS, this::compareClocks);
     }
 
     /** Ends it at once, as a killed process does. */
@@ -105,11 +105,11 @@
 
     /** Runs what is due and what waited. Returns in how many nanoseconds it next has something to do. */
     long proceed() {
-        reducer.tick(now());
+        reducer.runDueDeadlines(now());
         for (int n = later.size(); n > 0; n--) {
             later.poll().run();
         }
-        return later.isEmpty() ? reducer.settle(now()) - now() : 0;
+        return later.isEmpty() ? reducer.openDeferredConnections(now()) - now() : 0;
     }
 
     /** Waits from now on for something new to be told. */
@@ -126,7 +126,7 @@
     void move(InetSocketAddress to) {
         discoveryAt = to;
         discovery.move(now(), name(number));
-        reducer.listMoved(now());
+        reducer.onDiscoveryMoved(now());
     }
 
     long brokenInvariants() {
@@ -149,50 +149,50 @@
     }
 
     @Override
-    public void answer(long client, long slot, Answer answer) {
+    public void answerClient(long client, long slot, Answer answer) {
         tally.served += answer instanceof Answer.Served ? 1 : 0;
     }
 
     // ---- Modelled servers ----
 
     @Override
-    public void open(long connection, InetSocketAddress endpoint) {
+    public void openConnection(long connection, InetSocketAddress endpoint) {
         tally.serverConnections++;
         servers.open(connection);
     }
 
     @Override
-    public void query(long connection, Statement statement, long waitMillis) {
+    public void sendQuery(long connection, Statement statement, long waitMillis) {
         servers.ask(connection);
-        later.add(() -> reducer.written(connection));
+        later.add(() -> reducer.onQueryWritten(connection));
     }
 
     @Override
-    public void probe(long connection) {
+    public void sendProbe(long connection) {
         tally.probes++;
         servers.ask(connection);
-        later.add(() -> reducer.written(connection));
+        later.add(() -> reducer.onQueryWritten(connection));
     }
 
     @Override
-    public boolean quiet(long connection) {
+    public boolean hasNoUnreadData(long connection) {
         return servers.up(connection);
     }
 
     @Override
-    public void close(long connection) {
+    public void closeConnection(long connection) {
         servers.close(connection);
     }
 
     // ---- Discovery: the client's wishes ----
 
     @Override
-    public void watch(boolean on) {
+    public void watchServerList(boolean on) {
         later.add(() -> discovery.follow(now(), on));
     }
 
     @Override
-    public void fetch() {
+    public void fetchServerList() {
         later.add(() -> discovery.fetch(now()));
     }
 
@@ -224,7 +224,7 @@
 
     @Override
     public void members(long now, ListKind kind, List<ServerEntry> entries) {
-        reducer.members(now, kind, entries);
+        reducer.onServerList(now, kind, entries);
         awaited.heard(System.nanoTime(), kind, entries);
         switch (kind) {
             case FULL -> tally.wholeLists++;
--- a/lab/src/main/java/stoatrill/lab/scale/hollow/ModelClients.java
+++ b/lab/src/main/java/stoatrill/lab/scale/hollow/ModelClients.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import stoatrill.core.ClientRequest;
-import stoatrill.core.Deadlines;
+import stoatrill.core.DeadlineQueue;
 import stoatrill.core.Reducer;
 import stoatrill.core.Statement;
 
@@ -15,7 +15,7 @@
     private static final Statement STATEMENT = wait -> new byte[0];
 
     private final Reducer reducer;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final LongSupplier now;
     private final int groups;
     private final SplittableRandom random;
@@ -24,7 +24,7 @@
     private long statements;
     private long rateChanges;
 
-    ModelClients(Reducer reducer, Deadlines deadlines, LongSupplier now, int groups, long seed, HollowTally tally) {
+    ModelClients(Reducer reducer, DeadlineQueue deadlines, LongSupplier now, int groups, long seed, HollowTally tally) {
         this.reducer = reducer;
         this.deadlines = deadlines;
         this.now = now;
@@ -43,7 +43,7 @@
     private void next(long change) {
         if (perSecond > 0) {
             long span = (long) (-Math.log(1 - random.nextDouble()) / perSecond * NANOS);
-            deadlines.at(now.getAsLong() + span, () -> send(change));
+            deadlines.schedule(now.getAsLong() + span, () -> send(change));
         }
     }
 
@@ -64,7 +64,7 @@
                 false,
                 false,
                 STATEMENT);
-        reducer.request(now.getAsLong(), statements, 0, request);
+        reducer.onRequest(now.getAsLong(), statements, 0, request);
         next(change);
     }
 }
--- a/lab/src/main/java/stoatrill/lab/scale/hollow/ModelServers.java
+++ b/lab/src/main/java/stoatrill/lab/scale/hollow/ModelServers.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
-import stoatrill.core.Deadlines;
+import stoatrill.core.DeadlineQueue;
 import stoatrill.core.Reducer;
 import stoatrill.core.ServerAnswer;
 
@@ -21,12 +21,12 @@
     private static final long AGE_MILLIS = 5;
     private static final byte[] VALUE = {1};
 
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final LongSupplier now;
     private final Set<Long> connections = new HashSet<>();
     private Reducer reducer;
 
-    ModelServers(Deadlines deadlines, LongSupplier now) {
+    ModelServers(DeadlineQueue deadlines, LongSupplier now) {
         this.deadlines = deadlines;
         this.now = now;
     }
@@ -37,17 +37,17 @@
 
     void open(long connection) {
         connections.add(connection);
-        deadlines.at(now.getAsLong() + CONNECT, () -> {
+        deadlines.schedule(now.getAsLong() + CONNECT, () -> {
             if (connections.contains(connection)) {
-                reducer.connected(now.getAsLong(), connection);
+                reducer.onServerConnected(now.getAsLong(), connection);
             }
         });
     }
 
     void ask(long connection) {
-        deadlines.at(now.getAsLong() + ANSWER, () -> {
+        deadlines.schedule(now.getAsLong() + ANSWER, () -> {
             if (connections.contains(connection)) {
-                reducer.answered(now.getAsLong(), connection, answer(), true);
+                reducer.onServerAnswer(now.getAsLong(), connection, answer(), true);
             }
         });
     }
--- a/lab/src/main/java/stoatrill/lab/world/ServiceList.java
+++ b/lab/src/main/java/stoatrill/lab/world/ServiceList.java
@@ -58,9 +58,9 @@
                     e.zone(),
                     e.model(),
                     e.group(),
-                    e.size(),
-                    bootMillis > 0 ? bootMillis : e.bootMillis(),
-                    e.primary(),
+                    e.relativeCapacity(),
+                    bootMillis > 0 ? bootMillis : e.startedAtMillis(),
+                    e.isPrimary(),
                     state));
         });
     }
@@ -78,7 +78,15 @@
                 return;
             }
             show(new ServerEntry(
-                    uid, e.endpoint(), e.zone(), e.model(), e.group(), e.size(), e.bootMillis(), primary, e.state()));
+                    uid,
+                    e.endpoint(),
+                    e.zone(),
+                    e.model(),
+                    e.group(),
+                    e.relativeCapacity(),
+                    e.startedAtMillis(),
+                    primary,
+                    e.state()));
         });
     }
 
--- a/lab/src/main/java/stoatrill/lab/world/SimRouter.java
+++ b/lab/src/main/java/stoatrill/lab/world/SimRouter.java
@@ -14,10 +14,10 @@
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
 import stoatrill.core.Answer;
-import stoatrill.core.Break;
 import stoatrill.core.ClientRequest;
 import stoatrill.core.Clocks;
-import stoatrill.core.Deadlines;
+import stoatrill.core.DeadlineQueue;
+import stoatrill.core.DisconnectCause;
 import stoatrill.core.Effects;
 import stoatrill.core.Reducer;
 import stoatrill.core.ServerAnswer;
@@ -57,7 +57,7 @@
     final int zone;
     private final World world;
     private Reducer reducer;
-    private Deadlines deadlines;
+    private DeadlineQueue deadlines;
     private final Map<Long, Conn> conns = new LinkedHashMap<>();
     private final Map<Long, SimTry> open = new LinkedHashMap<>();
     private final ArrayDeque<Runnable> later = new ArrayDeque<>();
@@ -86,7 +86,7 @@
         long now = world.time.now();
         up = true;
         life++;
-        deadlines = new Deadlines();
+        deadlines = new DeadlineQueue();
         wakeAt = Long.MAX_VALUE;
         known.forEach(e -> held.put(e.uid(), e));
         long seed = Seeds.number(world.seed, "router" + id + "/" + life);
@@ -112,11 +112,11 @@
                         setup,
                         gateway -> world.decisions.apply(gateway, new Policy.Sight(setup.settings(), seed, this)));
         if (world.plan.contracts != null) {
-            reducer.contracts(now, world.plan.contracts);
+            reducer.applyContracts(now, world.plan.contracts);
         }
         List<ServerEntry> last = List.copyOf(held.values());
         number(last);
-        call(() -> reducer.members(now, ListKind.CACHED, last));
+        call(() -> reducer.onServerList(now, ListKind.CACHED, last));
     }
 
     private void number(List<ServerEntry> entries) {
@@ -186,7 +186,7 @@
     }
 
     private void arm() {
-        long next = deadlines.next();
+        long next = deadlines.nextDueAt();
         if (next < wakeAt) {
             wakeAt = next;
             long mine = life;
@@ -197,7 +197,7 @@
     private void wake(long at, long mine) {
         if (mine == life && at == wakeAt) {
             wakeAt = Long.MAX_VALUE;
-            call(() -> reducer.tick(world.time.now()));
+            call(() -> reducer.runDueDeadlines(world.time.now()));
         }
     }
 
@@ -221,14 +221,14 @@
                 kind.need() == Consistency.WRITE,
                 t);
         if (world.plan.contracts != null && !world.plan.teams.isEmpty()) {
-            asked = asked.by(world.plan.teams.get(t.request.team).name());
+            asked = asked.withTeam(world.plan.teams.get(t.request.team).name());
         }
         ClientRequest whole = asked;
-        call(() -> reducer.request(now, t.id, 0, whole));
+        call(() -> reducer.onRequest(now, t.id, 0, whole));
     }
 
     @Override
-    public void answer(long client, long slot, Answer answer) {
+    public void answerClient(long client, long slot, Answer answer) {
         long now = world.time.now();
         SimTry t = open.remove(client);
         if (t == null) {
@@ -243,7 +243,7 @@
             world.meter().served();
         } else if (answer instanceof Answer.Refused refused) {
             end = t.attempts == 0 ? Tally.End.REFUSED_AT_ONCE : Tally.End.REFUSED_LATER;
-            comeBack = refused.comeBackMillis() * MS;
+            comeBack = refused.retryAfterMillis() * MS;
             if (t.maybeRan && world.plan.kinds.get(t.request.kind).need() == Consistency.WRITE) {
                 world.broken(Audit.Rule.ONCE, id, -1, t.request.id);
             }
@@ -258,7 +258,7 @@
     // ---- Servers ----
 
     @Override
-    public void open(long connection, InetSocketAddress endpoint) {
+    public void openConnection(long connection, InetSocketAddress endpoint) {
         Node node = world.node(endpoint);
         Conn c = new Conn(connection, node);
         conns.put(connection, c);
@@ -274,20 +274,20 @@
             if (node.connect()) {
                 c.up = true;
                 world.meter().connected(node);
-                call(() -> reducer.connected(world.time.now(), connection));
+                call(() -> reducer.onServerConnected(world.time.now(), connection));
             } else {
-                gone(c, node.reachable() ? Break.FULL : Break.ENDED);
+                gone(c, node.reachable() ? DisconnectCause.FULL : DisconnectCause.ENDED);
             }
         });
     }
 
-    private void gone(Conn c, Break how) {
+    private void gone(Conn c, DisconnectCause how) {
         c.closed = true;
         conns.remove(c.id);
         if (c.up) {
             c.node.disconnected();
         }
-        call(() -> reducer.broken(world.time.now(), c.id, how));
+        call(() -> reducer.onServerConnectionLost(world.time.now(), c.id, how));
     }
 
     /** A node's process has ended: connections to it are reset. */
@@ -297,13 +297,13 @@
         }
         for (Conn c : List.copyOf(conns.values())) {
             if (c.node == node && !c.closed) {
-                gone(c, Break.ENDED);
+                gone(c, DisconnectCause.ENDED);
             }
         }
     }
 
     @Override
-    public void query(long connection, Statement statement, long waitMillis) {
+    public void sendQuery(long connection, Statement statement, long waitMillis) {
         Conn c = conns.get(connection);
         SimTry t = (SimTry) statement;
         if (c == null) {
@@ -319,7 +319,7 @@
         boolean write = world.plan.kinds.get(t.request.kind).need() == Consistency.WRITE;
         double work = world.attemptWork(t.request);
         long mine = life;
-        later.add(() -> reducer.written(connection));
+        later.add(() -> reducer.onQueryWritten(connection));
         long trip = world.trip(zone, c.node);
         if (trip == Long.MAX_VALUE) {
             return;
@@ -327,7 +327,7 @@
         world.time.at(now + trip, () -> {
             if (!c.node.reachable() && c.node.state() != Node.State.HUNG) {
                 if (mine == life && !c.closed) {
-                    gone(c, Break.ENDED);
+                    gone(c, DisconnectCause.ENDED);
                 }
                 return;
             }
@@ -356,7 +356,7 @@
                 t.work = work;
             }
             Result result = Result.valueOf(outcome.name());
-            call(() -> reducer.answered(world.time.now(), c.id, world.answer(result, note, VALUE), true));
+            call(() -> reducer.onServerAnswer(world.time.now(), c.id, world.answer(result, note, VALUE), true));
         });
     }
 
@@ -382,13 +382,13 @@
     }
 
     @Override
-    public boolean quiet(long connection) {
+    public boolean hasNoUnreadData(long connection) {
         Conn c = conns.get(connection);
         return c != null && c.up && !c.closed;
     }
 
     @Override
-    public void probe(long connection) {
+    public void sendProbe(long connection) {
         Conn c = conns.get(connection);
         if (c == null) {
             return;
@@ -396,7 +396,7 @@
         world.tally.probes++;
         world.probed(c.node);
         long mine = life;
-        later.add(() -> reducer.written(connection));
+        later.add(() -> reducer.onQueryWritten(connection));
         long trip = world.trip(zone, c.node);
         if (trip != Long.MAX_VALUE) {
             world.time.at(
@@ -404,7 +404,7 @@
                     () -> c.node.probe((outcome, note) -> world.time.at(world.time.now() + trip, () -> {
                         if (mine == life && !c.closed) {
                             ServerAnswer answer = world.answer(Result.OK, note, VALUE);
-                            call(() -> reducer.answered(
+                            call(() -> reducer.onServerAnswer(
                                     world.time.now(),
                                     c.id,
                                     new ServerAnswer(Result.OK, Role.UNKNOWN, -1, answer.report(), VALUE),
@@ -415,7 +415,7 @@
     }
 
     @Override
-    public void close(long connection) {
+    public void closeConnection(long connection) {
         Conn c = conns.remove(connection);
         if (c != null) {
             c.closed = true;
@@ -428,7 +428,7 @@
     // ---- The list ----
 
     @Override
-    public void watch(boolean on) {
+    public void watchServerList(boolean on) {
         if (on) {
             world.list.follow(this);
         } else {
@@ -437,7 +437,7 @@
     }
 
     @Override
-    public void fetch() {
+    public void fetchServerList() {
         world.list.follow(this);
     }
 
@@ -457,7 +457,7 @@
             }
         }
         number(entries);
-        call(() -> reducer.members(now, kind, entries));
+        call(() -> reducer.onServerList(now, kind, entries));
     }
 
     @Override
--- a/lab/src/main/java/stoatrill/lab/world/SimTry.java
+++ b/lab/src/main/java/stoatrill/lab/world/SimTry.java
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public byte[] withWait(long waitMillis) {
+    public byte[] encodeWithWait(long waitMillis) {
         return new byte[0];
     }
 }
--- a/router/src/main/java/stoatrill/core/Answer.java
+++ b/router/src/main/java/stoatrill/core/Answer.java
@@ -10,15 +10,15 @@
     @SuppressWarnings("ArrayRecordComponent") // passes bytes to a socket without a copy; never compared
     record Served(byte[] value) implements Answer {}
 
-    /** Refused: a repeat is harmless, and advised after {@code comeBackMillis} if that is positive. */
-    record Refused(long comeBackMillis) implements Answer {}
+    /** Refused: a repeat is harmless, and advised after {@code retryAfterMillis} if that is positive. */
+    record Refused(long retryAfterMillis) implements Answer {}
 
     /** Failed; the request may or may not have had an effect. */
-    record Failed(String why) implements Answer {}
+    record Failed(String reason) implements Answer {}
 
     /** Cancelled by the client; the request may or may not have had an effect. */
     record Cancelled() implements Answer {}
 
     /** Not a request that this router can handle. */
-    record Invalid(String why) implements Answer {}
+    record Invalid(String reason) implements Answer {}
 }
--- a/router/src/main/java/stoatrill/core/Attempt.java
+++ b/router/src/main/java/stoatrill/core/Attempt.java
@@ -1,6 +1,6 @@
 package stoatrill.core;
 
-import stoatrill.core.Deadlines.Deadline;
+import stoatrill.core.DeadlineQueue.Deadline;
 
 /** One attempt of a request at one server, or a probe of that server if {@code request} is null. */
 final class Attempt {
--- a/router/src/main/java/stoatrill/core/Clocks.java
+++ b/router/src/main/java/stoatrill/core/Clocks.java
@@ -15,7 +15,7 @@
     }
 
     /** The module's time for a reading of the monotonic source. */
-    public long now(long monotonic) {
+    public long toModuleTime(long monotonic) {
         return monotonicOffset + monotonic;
     }
 
@@ -23,9 +23,9 @@
      * Updates the offset between the clocks from a new pair of readings, because the wall clock may step or drift.
      * Returns by how much the wall clock has advanced more than the monotonic one since the last pair.
      */
-    public long compare(long wall, long monotonic) {
+    public long resync(long wall, long monotonic) {
         long previousAhead = aheadOfWallNanos;
-        aheadOfWallNanos = now(monotonic) - wall;
+        aheadOfWallNanos = toModuleTime(monotonic) - wall;
         return previousAhead - aheadOfWallNanos;
     }
 
--- a/router/src/main/java/stoatrill/core/Deadlines.java
+++ b/router/src/main/java/stoatrill/core/DeadlineQueue.java
@@ -11,7 +11,7 @@
  * <p>Sorting late is the idea of the timing wheel (Varghese and Lauck, 1987). The heap keeps exact times and the order
  * of equal ones.
  */
-public final class Deadlines {
+public final class DeadlineQueue {
     private static final int HEAP_BRANCH_COUNT = 4;
     private static final int BUCKET_SHIFT_BITS = 26; // a bucket spans 67 ms
     private static final int BUCKET_COUNT = 512; // 34 s in all; later deadlines go to the heap at once
@@ -58,7 +58,7 @@
     private long currentBucket = Long.MIN_VALUE / 2;
 
     /** Runs the action in the first sweep at or after the given time; equal times keep the order of these calls. */
-    public Deadline at(long time, Runnable action) {
+    public Deadline schedule(long time, Runnable action) {
         Deadline deadline = new Deadline(time, nextSequence++, action);
         long bucketsAhead = (time >> BUCKET_SHIFT_BITS) - currentBucket;
         if (bucketsAhead > 1 && bucketsAhead < BUCKET_COUNT) {
@@ -70,7 +70,7 @@
     }
 
     /** Runs the actions that are due. Deadlines that these add for now or earlier wait for the next sweep. */
-    public void sweep(long now) {
+    public void runDue(long now) {
         advanceTo(now >> BUCKET_SHIFT_BITS);
         long sequenceAtStart = nextSequence;
         while (heapSize > 0 && heap[0].dueAt <= now && heap[0].sequence < sequenceAtStart) {
@@ -81,7 +81,7 @@
     }
 
     /** When the next deadline is due; {@link Long#MAX_VALUE} if there is none. */
-    public long next() {
+    public long nextDueAt() {
         if (heapSize > 0 || bucketedCount == 0) {
             long earliest = heapSize == 0 ? Long.MAX_VALUE : heap[0].dueAt;
             return bucketedCount == 0 || earliest >> BUCKET_SHIFT_BITS <= currentBucket + 1
--- a/router/src/main/java/stoatrill/core/Break.java
+++ b/router/src/main/java/stoatrill/core/DisconnectCause.java
@@ -1,7 +1,7 @@
 package stoatrill.core;
 
 /** Why a connection to a server became unusable. */
-public enum Break {
+public enum DisconnectCause {
     /** It ended, or was never established. */
     ENDED,
     /** The server refused it because it has too many connections. */
--- a/router/src/main/java/stoatrill/core/Effects.java
+++ b/router/src/main/java/stoatrill/core/Effects.java
@@ -5,35 +5,41 @@
 /** The I/O that the reducer requests. No method may call the reducer back before it has returned. */
 public interface Effects {
 
-    /** Opens a connection to a server; {@link Reducer#connected} or {@link Reducer#broken} follows. */
-    void open(long connection, InetSocketAddress endpoint);
-
-    /** Writes a query; {@link Reducer#written(long)} follows after the last byte, then {@link Reducer#answered}. */
-    void query(long connection, Statement statement, long waitMillis);
+    /**
+     * Opens a connection to a server; {@link Reducer#onServerConnected} or {@link Reducer#onServerConnectionLost}
+     * follows.
+     */
+    void openConnection(long connection, InetSocketAddress endpoint);
+
+    /**
+     * Writes a query; {@link Reducer#onQueryWritten(long)} follows after the last byte, then
+     * {@link Reducer#onServerAnswer}.
+     */
+    void sendQuery(long connection, Statement statement, long waitMillis);
 
     /** Whether nothing was received on an idle connection; one that received something must not be reused. */
-    boolean quiet(long connection);
+    boolean hasNoUnreadData(long connection);
 
-    /** Requests a load report from the connection's server; {@link Reducer#answered} follows. */
-    void probe(long connection);
+    /** Requests a load report from the connection's server; {@link Reducer#onServerAnswer} follows. */
+    void sendProbe(long connection);
 
     /** Closes a connection to a server at once; no event follows. */
-    void close(long connection);
+    void closeConnection(long connection);
 
     /** Sends a client the final answer to the request in the given slot. */
-    void answer(long client, long slot, Answer answer);
+    void answerClient(long client, long slot, Answer answer);
 
     /** Starts or stops watching the list of servers. */
-    void watch(boolean enabled);
+    void watchServerList(boolean enabled);
 
     /** Requests the full list of servers once. */
-    void fetch();
+    void fetchServerList();
 
     /** Logs a line for the operators. */
     void log(String line);
 
     /** Whether {@link #trace} has any effect; if not, the caller need not build its texts. */
-    default boolean traces() {
+    default boolean isTraceEnabled() {
         return false;
     }
 
--- a/router/src/main/java/stoatrill/core/Reducer.java
+++ b/router/src/main/java/stoatrill/core/Reducer.java
@@ -48,7 +48,7 @@
     private final Effects effects;
     private final Clocks clocks;
     private final Setup setup;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final Invariants invariants = new Invariants();
     private final ServerPool serverPool;
     private final Gateway.Events decisionModule;
@@ -69,8 +69,8 @@
     private final RequestGate requestGate;
     private ContractGate contractGate;
 
-    /** Creates a reducer that knows no server yet: {@link #members} must be called first. */
-    public Reducer(Effects effects, Clocks clocks, Deadlines deadlines, Setup setup) {
+    /** Creates a reducer that knows no server yet: {@link #onServerList} must be called first. */
+    public Reducer(Effects effects, Clocks clocks, DeadlineQueue deadlines, Setup setup) {
         this(effects, clocks, deadlines, setup, gateway -> new Decide(gateway, setup.settings(), setup.seed()));
     }
 
@@ -78,7 +78,7 @@
     public Reducer(
             Effects effects,
             Clocks clocks,
-            Deadlines deadlines,
+            DeadlineQueue deadlines,
             Setup setup,
             Function<Gateway, Gateway.Events> decisions) {
         this.effects = effects;
@@ -110,7 +110,7 @@
      * Enforces this router's part of the given contracts from now on. What was spent under the previous contracts still
      * counts. Null disables contracts.
      */
-    public void contracts(long eventTime, Contracts contracts) {
+    public void applyContracts(long eventTime, Contracts contracts) {
         now = eventTime;
         Contracts ownPart =
                 contracts == null ? null : contracts.perRouter(setup.settings().gatewayCount());
@@ -126,16 +126,17 @@
     // Client events
 
     /** Handles a request that was read completely; {@code slot} numbers it within the client's connection. */
-    public void request(long eventTime, long client, long slot, ClientRequest clientRequest) {
+    public void onRequest(long eventTime, long client, long slot, ClientRequest clientRequest) {
         now = eventTime;
-        RequestClass requestClass = classesByName.get(clientRequest.kind());
+        RequestClass requestClass = classesByName.get(clientRequest.requestClass());
         if (requestClass == null) {
-            effects.answer(client, slot, new Answer.Invalid("unknown class \"" + clientRequest.kind() + "\""));
+            effects.answerClient(
+                    client, slot, new Answer.Invalid("unknown class \"" + clientRequest.requestClass() + "\""));
             return;
         }
-        if (clientRequest.writes() != (requestClass.consistency() == Consistency.WRITE)) {
+        if (clientRequest.isWrite() != (requestClass.consistency() == Consistency.WRITE)) {
             // A writing statement must not be sent under a class that may be repeated: an upload could run twice.
-            effects.answer(
+            effects.answerClient(
                     client,
                     slot,
                     new Answer.Invalid("class \"" + requestClass.name() + "\" is not for this statement"));
@@ -143,11 +144,11 @@
         }
         String problem = findProblem(clientRequest);
         if (problem != null) {
-            effects.answer(client, slot, new Answer.Invalid(problem));
+            effects.answerClient(client, slot, new Answer.Invalid(problem));
             return;
         }
         if (isShuttingDown || unansweredCount >= setup.maxUnansweredRequests()) {
-            effects.answer(client, slot, new Answer.Refused(0));
+            effects.answerClient(client, slot, new Answer.Refused(0));
             return;
         }
         int teamIndex = -1;
@@ -155,7 +156,7 @@
         if (contractGate != null) {
             teamIndex = contractGate.teamIndex(clientRequest.team());
             if (teamIndex < 0) {
-                effects.answer(
+                effects.answerClient(
                         client, slot, new Answer.Invalid("team \"" + clientRequest.team() + "\" has no contract here"));
                 return;
             }
@@ -163,7 +164,7 @@
             if (waitNanos > 0) {
                 Limits limits = setup.settings().limits();
                 long retryAfterNanos = limits.mayAdviseRetry() ? Math.min(waitNanos, limits.maxRetryAfter()) : 0;
-                effects.answer(
+                effects.answerClient(
                         client, slot, new Answer.Refused((retryAfterNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
                 return;
             }
@@ -186,9 +187,9 @@
         openRequestsByClient.computeIfAbsent(client, c -> new LinkedHashMap<>()).put(slot, request);
         unansweredCount++;
         request.backstopDeadline =
-                deadlines.at(request.deadline + BACKSTOP_DELAY_NANOS, () -> failOverdueRequest(request));
-        long tokenAge = clientRequest.afterMillis() > 0
-                ? Math.max(1, now - clocks.fromWallMillis(clientRequest.afterMillis()))
+                deadlines.schedule(request.deadline + BACKSTOP_DELAY_NANOS, () -> failOverdueRequest(request));
+        long tokenAge = clientRequest.lastWriteMillis() > 0
+                ? Math.max(1, now - clocks.fromWallMillis(clientRequest.lastWriteMillis()))
                 : 0;
         notifyModule(() -> decisionModule.onRequest(
                 now,
@@ -197,7 +198,7 @@
                 clientRequest.group(),
                 request.deadline,
                 tokenAge,
-                clientRequest.repeat(),
+                clientRequest.isRepeat(),
                 classIndexes.get(requestClass.name()),
                 0));
     }
@@ -219,7 +220,7 @@
     }
 
     /** Handles the end of a client's connection: ends all its requests without an answer. */
-    public void clientGone(long eventTime, long client) {
+    public void onClientDisconnected(long eventTime, long client) {
         now = eventTime;
         Map<Long, Request> openRequests = openRequestsByClient.remove(client);
         if (openRequests != null) {
@@ -231,7 +232,7 @@
     }
 
     /** Handles a client's cancellation of one request: ends it at once and calls off its attempts. */
-    public void cancelled(long eventTime, long client, long slot) {
+    public void onRequestCancelled(long eventTime, long client, long slot) {
         now = eventTime;
         Request request = openRequestsByClient.getOrDefault(client, Map.of()).get(slot);
         if (request != null) {
@@ -241,7 +242,7 @@
     }
 
     /** Starts the shutdown: fails every request that is owed an answer and refuses all later requests. */
-    public void failAll(long eventTime) {
+    public void failAllRequests(long eventTime) {
         now = eventTime;
         isShuttingDown = true;
         for (Request request : List.copyOf(requestsById.values())) {
@@ -254,26 +255,26 @@
     }
 
     /** Sets the limit of connections to servers, which depends on what else the router holds open. */
-    public void serverConnections(long eventTime, int maxConnections) {
+    public void setMaxServerConnections(long eventTime, int maxConnections) {
         now = eventTime;
         serverPool.setMaxConnections(now, maxConnections);
         runPendingActions();
     }
 
     /** The number of connections to servers. */
-    public int serverConnections() {
+    public int serverConnectionCount() {
         return serverPool.size();
     }
 
     /** The number of requests that are owed a final answer. */
-    public int unanswered() {
+    public int unansweredCount() {
         return unansweredCount;
     }
 
     // Server events
 
     /** Handles a connection to a server that is established and accepts queries. */
-    public void connected(long eventTime, long connectionId) {
+    public void onServerConnected(long eventTime, long connectionId) {
         now = eventTime;
         ServerPool.Connection connection = serverPool.get(connectionId);
         if (connection != null) {
@@ -283,13 +284,13 @@
     }
 
     /** Handles the write of a query's last byte: from now on the query may have run. */
-    public void written(long eventTime, long connectionId) {
+    public void onQueryWritten(long eventTime, long connectionId) {
         now = Math.max(now, eventTime);
-        written(connectionId);
+        onQueryWritten(connectionId);
     }
 
-    /** Same as {@link #written(long, long)}, at the time of the last event. */
-    public void written(long connectionId) {
+    /** Same as {@link #onQueryWritten(long, long)}, at the time of the last event. */
+    public void onQueryWritten(long connectionId) {
         ServerPool.Connection connection = serverPool.get(connectionId);
         if (connection != null && connection.attempt != null) {
             connection.attempt.state = Attempt.State.WRITTEN;
@@ -301,11 +302,11 @@
     /**
      * Whether a query that was encoded for a server may be written now. Called immediately before the write, because
      * time may have passed since the encoding and the request may be over. If the result is false, the caller calls
-     * {@link #unsent}.
+     * {@link #onQueryAbandoned}.
      *
      * @param isPartlyWritten whether a part of the query is written and the server is reading the rest
      */
-    public boolean maySend(long writeTime, long connectionId, boolean isPartlyWritten) {
+    public boolean mayWriteQuery(long writeTime, long connectionId, boolean isPartlyWritten) {
         ServerPool.Connection connection = serverPool.get(connectionId);
         if (connection == null || connection.attempt == null) {
             return false;
@@ -318,7 +319,7 @@
     }
 
     /** Handles a query that was not written completely and will not be: closes its connection. */
-    public void unsent(long eventTime, long connectionId) {
+    public void onQueryAbandoned(long eventTime, long connectionId) {
         now = eventTime;
         ServerPool.Connection connection = serverPool.get(connectionId);
         if (connection != null && connection.attempt != null) {
@@ -328,7 +329,7 @@
     }
 
     /** Handles a server's answer; {@code isReusable} tells whether the connection accepts another query. */
-    public void answered(long eventTime, long connectionId, ServerAnswer answer, boolean isReusable) {
+    public void onServerAnswer(long eventTime, long connectionId, ServerAnswer answer, boolean isReusable) {
         now = eventTime;
         ServerPool.Connection connection = serverPool.get(connectionId);
         if (connection == null) {
@@ -349,21 +350,21 @@
     }
 
     /** Handles the end of a connection to a server, or unreadable data on it. */
-    public void broken(long eventTime, long connectionId, Break cause) {
+    public void onServerConnectionLost(long eventTime, long connectionId, DisconnectCause cause) {
         now = eventTime;
         ServerPool.Connection connection = serverPool.get(connectionId);
         if (connection == null) {
             return;
         }
         Attempt attempt = connection.attempt;
-        serverPool.connectionLost(now, connection, cause == Break.FULL);
+        serverPool.connectionLost(now, connection, cause == DisconnectCause.FULL);
         serverPool.openDeferredConnections(now); // attempts that wait go before those the module sends next
         if (attempt != null) {
             // Before the last byte is written, the server can't have begun; after it, that is unknown.
             boolean isWritten = attempt.state == Attempt.State.WRITTEN;
             endAttempt(
                     attempt,
-                    !isWritten ? Result.CONNECT_FAILED : cause == Break.SPOILT ? Result.SPOILT : Result.RESET,
+                    !isWritten ? Result.CONNECT_FAILED : cause == DisconnectCause.SPOILT ? Result.SPOILT : Result.RESET,
                     null);
         }
         runPendingActions();
@@ -372,7 +373,7 @@
     // Discovery and timer events
 
     /** Handles news of the server list. The first call brings the cached list and starts the module. */
-    public void members(long eventTime, ListKind listKind, List<ServerEntry> entries) {
+    public void onServerList(long eventTime, ListKind listKind, List<ServerEntry> entries) {
         now = eventTime;
         List<ListEntry> members = serverDirectory.update(now, listKind, entries);
         notifyModule(() -> decisionModule.onServerList(now, listKind, members));
@@ -388,26 +389,26 @@
     }
 
     /** Handles a change of the discovery address: failures at the old address say nothing about the new one. */
-    public void listMoved(long eventTime) {
+    public void onDiscoveryMoved(long eventTime) {
         now = eventTime;
         serverDirectory.listMoved();
         notifyModule(() -> decisionModule.onDiscoveryMoved(now));
     }
 
     /** Runs the deadlines that are due. Returns when the next one is due. */
-    public long tick(long eventTime) {
+    public long runDueDeadlines(long eventTime) {
         now = eventTime;
-        deadlines.sweep(now);
+        deadlines.runDue(now);
         runPendingActions();
-        return settle(eventTime);
+        return openDeferredConnections(eventTime);
     }
 
     /** Opens connections that waited for free capacity. Returns when the next deadline is due. */
-    public long settle(long eventTime) {
+    public long openDeferredConnections(long eventTime) {
         now = eventTime;
         serverPool.openDeferredConnections(now);
         runPendingActions();
-        return deadlines.next();
+        return deadlines.nextDueAt();
     }
 
     /** How often each invariant was broken, by its description; rules of the request gate by their names. */
@@ -418,7 +419,7 @@
     }
 
     /** Records that the router closes a client's connection: a violation if an answer is still owed on it. */
-    public void closes(long client) {
+    public void recordClientClose(long client) {
         RequestGate.Ruling ruling = requestGate.checkClose(
                 openRequestsByClient.getOrDefault(client, Map.of()).size());
         if (!ruling.isAllowed()) {
@@ -488,7 +489,7 @@
         }
         trace(attempt, "begun", "");
         long timeoutAt = timeout > 0 ? Math.min(now + timeout, request.deadline) : request.deadline;
-        attempt.timeoutDeadline = deadlines.at(timeoutAt, () -> abandonAttempt(attempt, Result.TIMEOUT));
+        attempt.timeoutDeadline = deadlines.schedule(timeoutAt, () -> abandonAttempt(attempt, Result.TIMEOUT));
         serverPool.assignConnection(now, attempt);
     }
 
@@ -501,7 +502,7 @@
                 return;
             }
             attempt.timeoutDeadline =
-                    deadlines.at(now + PROBE_TIMEOUT_NANOS, () -> abandonAttempt(attempt, Result.TIMEOUT));
+                    deadlines.schedule(now + PROBE_TIMEOUT_NANOS, () -> abandonAttempt(attempt, Result.TIMEOUT));
             serverPool.assignConnection(now, attempt);
         });
     }
@@ -549,7 +550,7 @@
     @Override
     public void startTimer(long delay, long token) {
         pendingActions.add(() ->
-                deadlines.at(now + delay, () -> notifyModule(() -> decisionModule.onTimer(now, token))));
+                deadlines.schedule(now + delay, () -> notifyModule(() -> decisionModule.onTimer(now, token))));
     }
 
     @Override
@@ -564,12 +565,12 @@
 
     @Override
     public void watchServerList(boolean enabled) {
-        pendingActions.add(() -> effects.watch(enabled));
+        pendingActions.add(() -> effects.watchServerList(enabled));
     }
 
     @Override
     public void fetchServerList() {
-        pendingActions.add(effects::fetch);
+        pendingActions.add(effects::fetchServerList);
     }
 
     @Override
@@ -590,7 +591,7 @@
             connection.attempt = attempt;
             attempt.connection = connection;
             attempt.state = Attempt.State.WRITING;
-            effects.probe(connection.id);
+            effects.sendProbe(connection.id);
             return true;
         }
         RequestGate.Ruling ruling = requestGate.checkSend(attempt, now);
@@ -603,7 +604,7 @@
         attempt.connection = connection;
         attempt.state = Attempt.State.WRITING;
         attempt.announcedWaitMillis = Math.max(1, (attempt.request.deadline - now) / NANOS_PER_MILLI);
-        effects.query(connection.id, attempt.request.clientRequest.statement(), attempt.announcedWaitMillis);
+        effects.sendQuery(connection.id, attempt.request.clientRequest.statement(), attempt.announcedWaitMillis);
         return true;
     }
 
@@ -613,13 +614,13 @@
     }
 
     private void trace(Request request, String event, String detail) {
-        if (effects.traces()) {
+        if (effects.isTraceEnabled()) {
             effects.trace(request.clientRequest.id(), event, detail);
         }
     }
 
     private void trace(Attempt attempt, String event, String detail) {
-        if (attempt.request != null && effects.traces()) {
+        if (attempt.request != null && effects.isTraceEnabled()) {
             effects.trace(
                     attempt.request.clientRequest.id(),
                     event,
@@ -775,7 +776,7 @@
             }
         }
         if (answer != null) {
-            effects.answer(request.client, request.slot, answer);
+            effects.answerClient(request.client, request.slot, answer);
         }
         for (Attempt attempt : request.attempts) {
             if (attempt.state == Attempt.State.AWAITING_CONNECTION || attempt.state == Attempt.State.WRITING) {
--- a/router/src/main/java/stoatrill/core/Request.java
+++ b/router/src/main/java/stoatrill/core/Request.java
@@ -5,7 +5,7 @@
 import stoatrill.Gateway;
 import stoatrill.Gateway.RequestClass;
 import stoatrill.contract.Accounts;
-import stoatrill.core.Deadlines.Deadline;
+import stoatrill.core.DeadlineQueue.Deadline;
 
 /** An accepted request, from the arrival of its last byte until its final answer and the end of its last attempt. */
 final class Request {
--- a/router/src/main/java/stoatrill/core/ServerDirectory.java
+++ b/router/src/main/java/stoatrill/core/ServerDirectory.java
@@ -64,15 +64,16 @@
         if (!server.isListed) {
             pool.closeIdleConnections(server);
         }
-        long startedAt = entry.bootMillis() <= 0 ? 0 : Math.min(now, clocks.fromWallMillis(entry.bootMillis()));
+        long startedAt =
+                entry.startedAtMillis() <= 0 ? 0 : Math.min(now, clocks.fromWallMillis(entry.startedAtMillis()));
         return new ListEntry(
                 server.id,
                 entry.group(),
                 indexOf(setup.zones(), entry.zone()),
                 indexOf(setup.models(), entry.model()),
-                entry.size(),
+                entry.relativeCapacity(),
                 startedAt,
-                entry.primary(),
+                entry.isPrimary(),
                 entry.state());
     }
 
--- a/router/src/main/java/stoatrill/core/ServerEntry.java
+++ b/router/src/main/java/stoatrill/core/ServerEntry.java
@@ -6,8 +6,8 @@
 /**
  * An entry of discovery's server list.
  *
- * @param size compares the capacity of servers, without a unit
- * @param bootMillis Unix time of the server's last start; 0 for long ago
+ * @param relativeCapacity compares the capacity of servers, without a unit
+ * @param startedAtMillis Unix time of the server's last start; 0 for long ago
  */
 public record ServerEntry(
         String uid,
@@ -15,7 +15,7 @@
         String zone,
         String model,
         int group,
-        double size,
-        long bootMillis,
-        boolean primary,
+        double relativeCapacity,
+        long startedAtMillis,
+        boolean isPrimary,
         ListedState state) {}
--- a/router/src/main/java/stoatrill/core/ServerPool.java
+++ b/router/src/main/java/stoatrill/core/ServerPool.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import stoatrill.Gateway;
-import stoatrill.core.Deadlines.Deadline;
+import stoatrill.core.DeadlineQueue.Deadline;
 
 /**
  * The connections to servers. Each carries one attempt at a time, idle ones are reused, and one limit applies to all.
@@ -81,7 +81,7 @@
     private static final long SETTLE_TIME_NANOS = 2_000_000L;
 
     private final Effects effects;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final Owner owner;
     private final Limits limits;
     private final Map<Long, Connection> connectionsById = new HashMap<>();
@@ -89,7 +89,7 @@
     private final Set<Server> serversAwaitingCapacity = new LinkedHashSet<>();
     private long nextConnectionId;
 
-    ServerPool(Effects effects, Deadlines deadlines, Owner owner, Limits limits) {
+    ServerPool(Effects effects, DeadlineQueue deadlines, Owner owner, Limits limits) {
         this.effects = effects;
         this.deadlines = deadlines;
         this.owner = owner;
@@ -127,7 +127,7 @@
             return;
         }
         server.waitingAttempts.add(attempt);
-        attempt.connectDeadline = deadlines.at(now + limits.connectTimeout(), () -> {
+        attempt.connectDeadline = deadlines.schedule(now + limits.connectTimeout(), () -> {
             // The peer may never accept the connection and give no sign of it.
             if (server.waitingAttempts.remove(attempt)) {
                 effects.count("unconnected", "timeout");
@@ -147,7 +147,7 @@
         for (Connection candidate : List.copyOf(server.idleConnections)) {
             if ((now - candidate.idleSince >= SETTLE_TIME_NANOS
                     || (allowUnsettled && candidate == server.idleConnections.peekLast()))) {
-                if (effects.quiet(candidate.id)) {
+                if (effects.hasNoUnreadData(candidate.id)) {
                     effects.count("connection", "warm");
                     server.idleConnections.remove(candidate);
                     candidate.timeout.cancel();
@@ -177,11 +177,11 @@
             connectionsById.put(connection.id, connection);
             server.connectingCount++;
             server.connectionCount++;
-            connection.timeout = deadlines.at(now + limits.connectTimeout(), () -> {
-                effects.close(connection.id);
+            connection.timeout = deadlines.schedule(now + limits.connectTimeout(), () -> {
+                effects.closeConnection(connection.id);
                 connectionLost(now + limits.connectTimeout(), connection, false);
             });
-            effects.open(connection.id, server.endpoint);
+            effects.openConnection(connection.id, server.endpoint);
         }
         serversAwaitingCapacity.remove(server);
     }
@@ -236,7 +236,7 @@
         connection.attempt = null;
         connection.idleSince = now;
         if (!server.waitingAttempts.isEmpty()) {
-            deadlines.at(now + SETTLE_TIME_NANOS, () -> {
+            deadlines.schedule(now + SETTLE_TIME_NANOS, () -> {
                 Connection settled = server.waitingAttempts.isEmpty()
                         ? null
                         : takeWarmConnection(now + SETTLE_TIME_NANOS, server, false);
@@ -250,12 +250,12 @@
             return;
         }
         server.idleConnections.addFirst(connection);
-        connection.timeout = deadlines.at(now + limits.idleTimeout(), () -> closeConnection(connection));
+        connection.timeout = deadlines.schedule(now + limits.idleTimeout(), () -> closeConnection(connection));
     }
 
     /** Closes and removes a connection; the caller ends the attempt on it, if there is one. */
     void closeConnection(Connection connection) {
-        effects.close(connection.id);
+        effects.closeConnection(connection.id);
         removeConnection(connection);
     }
 
--- a/router/src/main/java/stoatrill/core/Statement.java
+++ b/router/src/main/java/stoatrill/core/Statement.java
@@ -4,5 +4,5 @@
 public interface Statement {
 
     /** The statement's bytes, including how long the router waits for the answer, in milliseconds. */
-    byte[] withWait(long waitMillis);
+    byte[] encodeWithWait(long waitMillis);
 }
--- a/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
+++ b/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
@@ -7,8 +7,8 @@
 import java.util.function.LongConsumer;
 import stoatrill.Gateway.ListKind;
 import stoatrill.Gateway.Settings;
-import stoatrill.core.Deadlines;
-import stoatrill.core.Deadlines.Deadline;
+import stoatrill.core.DeadlineQueue;
+import stoatrill.core.DeadlineQueue.Deadline;
 import stoatrill.core.ServerEntry;
 import stoatrill.http.ResponseParser;
 import stoatrill.http.ResponseParser.BadResponseException;
@@ -115,7 +115,7 @@
     }
 
     private final Peer peer;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final Timing timing;
     private final SplittableRandom random;
     private String host;
@@ -141,7 +141,7 @@
      *
      * @param version the version of the list already held; negative if there is none
      */
-    public DiscoveryClient(Peer peer, Deadlines deadlines, String host, long version, Timing timing) {
+    public DiscoveryClient(Peer peer, DeadlineQueue deadlines, String host, long version, Timing timing) {
         this.peer = peer;
         this.deadlines = deadlines;
         this.host = host;
@@ -213,7 +213,7 @@
         if (timeout != null) {
             timeout.cancel();
         }
-        timeout = deadlines.at(timeoutAt, () -> onTimeout.accept(timeoutAt));
+        timeout = deadlines.schedule(timeoutAt, () -> onTimeout.accept(timeoutAt));
     }
 
     /** The connection has been established. */
--- a/router/src/main/java/stoatrill/net/EventLoop.java
+++ b/router/src/main/java/stoatrill/net/EventLoop.java
@@ -20,17 +20,17 @@
 import stoatrill.Gateway;
 import stoatrill.config.Config;
 import stoatrill.core.Answer;
-import stoatrill.core.Break;
 import stoatrill.core.ClientRequest;
 import stoatrill.core.Clocks;
-import stoatrill.core.Deadlines;
-import stoatrill.core.Deadlines.Deadline;
+import stoatrill.core.DeadlineQueue;
+import stoatrill.core.DeadlineQueue.Deadline;
+import stoatrill.core.DisconnectCause;
 import stoatrill.core.Effects;
+import stoatrill.core.EventCounts;
 import stoatrill.core.Reducer;
 import stoatrill.core.ServerAnswer;
 import stoatrill.core.ServerEntry;
 import stoatrill.core.Statement;
-import stoatrill.core.Tally;
 import stoatrill.discovery.DiscoveryClient;
 import stoatrill.discovery.ServerList;
 import stoatrill.io.Connection;
@@ -132,7 +132,7 @@
     private final Poller poller;
     private final Listener listener;
     private final Clocks clocks;
-    private final Deadlines deadlines = new Deadlines();
+    private final DeadlineQueue deadlines = new DeadlineQueue();
     private final Reducer reducer;
     private final DiscoveryClient discoveryClient;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
@@ -157,7 +157,7 @@
     private boolean openRetryPending;
     private Deadline observedLimitExpiry;
     /** Null unless debug logging is enabled. */
-    private final Tally eventCounts = LOG.isDebugEnabled() ? new Tally() : null;
+    private final EventCounts eventCounts = LOG.isDebugEnabled() ? new EventCounts() : null;
 
     private DiscoveryLink discoveryLink;
     private long nextClientId;
@@ -232,7 +232,7 @@
                         descriptorBudget.guaranteedServers(),
                         config.seed()));
         if (config.contracts() != null) {
-            reducer.contracts(now(), config.contracts());
+            reducer.applyContracts(now(), config.contracts());
         }
         ServerList knownList = parseKnownList(config.known());
         this.fileDiscoveryAddress = config.filed();
@@ -246,18 +246,18 @@
         this.cancelKeys = new CancelKeys(new FileReader(systemCalls));
         this.poller = new Poller(systemCalls);
         this.listener = new Listener(systemCalls, poller, config.listen(), BACKLOG_LIMIT);
-        reducer.members(now(), Gateway.ListKind.CACHED, knownList.entries());
+        reducer.onServerList(now(), Gateway.ListKind.CACHED, knownList.entries());
         if (config.settings().listOnRequest()) {
             isReady = !knownList.entries().isEmpty();
         } else {
             // With pushed lists the module requests none; over sockets they arrive through a watch on the agent.
-            watch(true);
+            watchServerList(true);
             // Servers of the known list may have left since. What the agent knows counts as known from the start, and
             // clients connect at once, since the load balancer may not have noticed the restart. They wait in the
             // backlog until the first list has arrived, so that none is routed to a server that has left.
             admitsClients = false;
             listener.setAccepting(false);
-            deadlines.at(now() + FIRST_LIST_WAIT_NANOS, () -> {
+            deadlines.schedule(now() + FIRST_LIST_WAIT_NANOS, () -> {
                 updateReadiness(!knownList.entries().isEmpty());
                 startAccepting();
             });
@@ -272,8 +272,8 @@
     }
 
     private void logCounts() {
-        LOG.debug("{}", eventCounts.take());
-        deadlines.at(now() + COUNTS_INTERVAL_NANOS, this::logCounts);
+        LOG.debug("{}", eventCounts.takeSummary());
+        deadlines.schedule(now() + COUNTS_INTERVAL_NANOS, this::logCounts);
     }
 
     private static ServerList parseKnownList(String json) {
@@ -293,12 +293,12 @@
     }
 
     private long now() {
-        return clocks.now(System.nanoTime());
+        return clocks.toModuleTime(System.nanoTime());
     }
 
     /** Called in each iteration, so that wall-clock times of peers are converted by the newest difference. */
     private void compareClocks() {
-        long stepNanos = clocks.compare(wallClockNanos(), System.nanoTime());
+        long stepNanos = clocks.resync(wallClockNanos(), System.nanoTime());
         if (Math.abs(stepNanos) > CLOCK_STEP_NANOS) {
             LOG.warn("the wall clock was stepped by {} ms", stepNanos / NANOS_PER_MILLI);
         }
@@ -311,7 +311,7 @@
 
     /** Runs a task after a delay in nanoseconds. */
     Deadline scheduleAfter(long delayNanos, Runnable task) {
-        return deadlines.at(now() + delayNanos, task);
+        return deadlines.schedule(now() + delayNanos, task);
     }
 
     /** Records that a system call failed for lack of a resource; the next iteration pauses so as not to spin on it. */
@@ -352,7 +352,7 @@
         boolean mayWait = deferredTasks.isEmpty()
                 && dueClients.isEmpty()
                 && poller.selectedKeys().isEmpty();
-        long waitNanos = mayWait ? reducer.settle(now()) - now() : 0;
+        long waitNanos = mayWait ? reducer.openDeferredConnections(now()) - now() : 0;
         if (hasResourceShortage) {
             hasResourceShortage = false;
             LockSupport.parkNanos(RESOURCE_PAUSE_NANOS);
@@ -416,7 +416,7 @@
             return;
         }
         pendingConfig = null;
-        reducer.contracts(now(), newConfig.contracts());
+        reducer.applyContracts(now(), newConfig.contracts());
         InetSocketAddress newAddress = newConfig.filed();
         boolean hasMoved =
                 newAddress != null && !newAddress.equals(fileDiscoveryAddress) && !newAddress.equals(discoveryAddress);
@@ -428,7 +428,7 @@
         if (hasMoved) {
             discoveryAddress = newAddress;
             discoveryClient.move(now(), hostAndPort(newAddress));
-            reducer.listMoved(now());
+            reducer.onDiscoveryMoved(now());
         }
     }
 
@@ -459,7 +459,7 @@
             keys.remove();
         }
         otherLinks.forEach(this::handle);
-        runGuarded(null, () -> reducer.tick(now()));
+        runGuarded(null, () -> reducer.runDueDeadlines(now()));
         long commands = 0;
         for (int n = dueClients.size(); n > 0 && commands < COMMAND_LIMIT; n--) {
             ClientLink client = dueClients.poll();
@@ -498,21 +498,22 @@
             // Clients are still served for a while: closing all connections now would send every client to the other
             // routers at once.
             long shutdownNanos = Math.min(STOP_DEADLINE_LIMIT_NANOS, longestGiveUpNanos) + STOP_SLACK_NANOS;
-            deadlines.at(now() + ACCEPT_DURING_STOP_NANOS, () -> mayStopWhenIdle = true);
-            deadlines.at(now() + (long) (shutdownNanos * SERVING_SHARE), () -> stopPhase = StopPhase.DRAINING);
-            deadlines.at(now() + shutdownNanos, () -> {
-                reducer.failAll(now()); // an upload that takes too long still gets exactly one answer
-                deadlines.at(now() + LAST_READ_NANOS, () -> isStopped = true); // from now, as the loop may be late
+            deadlines.schedule(now() + ACCEPT_DURING_STOP_NANOS, () -> mayStopWhenIdle = true);
+            deadlines.schedule(now() + (long) (shutdownNanos * SERVING_SHARE), () -> stopPhase = StopPhase.DRAINING);
+            deadlines.schedule(now() + shutdownNanos, () -> {
+                reducer.failAllRequests(now()); // an upload that takes too long still gets exactly one answer
+                deadlines.schedule(
+                        now() + LAST_READ_NANOS, () -> isStopped = true); // from now, as the loop may be late
             });
         }
-        boolean isIdle = clients.isEmpty() && reducer.unanswered() == 0;
+        boolean isIdle = clients.isEmpty() && reducer.unansweredCount() == 0;
         if (stopPhase == StopPhase.DRAINING || (mayStopWhenIdle && isIdle)) {
             drainBacklog();
         }
         if (stopPhase == StopPhase.DRAINING) {
             List.copyOf(clients.values()).forEach(ClientLink::closeIfIdle);
         }
-        isStopped |= !listener.isOpen() && clients.isEmpty() && reducer.unanswered() == 0;
+        isStopped |= !listener.isOpen() && clients.isEmpty() && reducer.unansweredCount() == 0;
     }
 
     /**
@@ -568,7 +569,8 @@
             }
             consecutiveRefusals = 0;
             int clientLimit = Math.min(
-                    descriptorBudget.clientLimit(), descriptorBudget.connectionLimit() - reducer.serverConnections());
+                    descriptorBudget.clientLimit(),
+                    descriptorBudget.connectionLimit() - reducer.serverConnectionCount());
             boolean isFull = clients.size() >= clientLimit;
             boolean hasRoom = !isFull || shedIdleClient();
             shedCount += isFull ? 1 : 0;
@@ -624,10 +626,10 @@
         }
         descriptorReleasePending = true;
         deferredTasks.add(() -> {
-            int openConnections = clients.size() + reducer.serverConnections() - unopenedServers.size();
+            int openConnections = clients.size() + reducer.serverConnectionCount() - unopenedServers.size();
             descriptorBudget.lowerLimit(openConnections);
             shareDescriptors();
-            while (clients.size() + reducer.serverConnections() > descriptorBudget.connectionLimit()
+            while (clients.size() + reducer.serverConnectionCount() > descriptorBudget.connectionLimit()
                     && shedIdleClient()) {
                 // each pass closes one client
             }
@@ -635,11 +637,11 @@
             if (observedLimitExpiry != null) {
                 observedLimitExpiry.cancel();
             }
-            observedLimitExpiry = deadlines.at(now() + OBSERVED_LIMIT_NANOS, () -> {
+            observedLimitExpiry = deadlines.schedule(now() + OBSERVED_LIMIT_NANOS, () -> {
                 descriptorBudget.restoreLimit();
                 shareDescriptors();
             });
-            deadlines.at(now() + DESCRIPTOR_RETRY_NANOS, this::openPendingConnections);
+            deadlines.schedule(now() + DESCRIPTOR_RETRY_NANOS, this::openPendingConnections);
         });
     }
 
@@ -652,7 +654,7 @@
             discoveryOpenPending = false;
             open();
         }
-        pendingServers.forEach(this::open);
+        pendingServers.forEach(this::openConnection);
     }
 
     /** Starts accepting clients, if the listener is still open. */
@@ -665,7 +667,7 @@
 
     /** Tells the reducer how many server connections the present number of clients leaves room for. */
     private void shareDescriptors() {
-        reducer.serverConnections(now(), descriptorBudget.serverLimit(clients.size()));
+        reducer.setMaxServerConnections(now(), descriptorBudget.serverLimit(clients.size()));
     }
 
     /**
@@ -697,7 +699,7 @@
      * message, don't read their answers, or keep a connection that they no longer use.
      */
     private void checkClients() {
-        deadlines.at(now() + CLIENT_CHECK_INTERVAL_NANOS, this::checkClients);
+        deadlines.schedule(now() + CLIENT_CHECK_INTERVAL_NANOS, this::checkClients);
         int idleLimit = descriptorBudget.idleClientLimit();
         for (ClientLink client : List.copyOf(clients.values())) {
             if (now() - client.lastActivityAt < CLIENT_IDLE_NANOS || client.protocol.waiting() > 0) {
@@ -755,12 +757,12 @@
 
         @Override
         public void takeBack(long slot) {
-            reducer.cancelled(now(), id, slot);
+            reducer.onRequestCancelled(now(), id, slot);
         }
 
         @Override
         public void request(long slot, ClientRequest request) {
-            reducer.request(now(), id, slot, request);
+            reducer.onRequest(now(), id, slot, request);
         }
 
         @Override
@@ -774,7 +776,7 @@
             boolean mayReadMore = unparsedBytes == 0 || totalUnparsedBytes < UNPARSED_LIMIT_BYTES;
             if (!mayReadMore) {
                 setInterest(SelectionKey.OP_READ, false); // paused until other clients have released some
-                deadlines.at(now() + CLIENT_CHECK_INTERVAL_NANOS, this::updateReadInterest);
+                deadlines.schedule(now() + CLIENT_CHECK_INTERVAL_NANOS, this::updateReadInterest);
             }
             for (int n = 0; mayReadMore && n < READ_AHEAD_BYTES / BUFFER_BYTES && isOpen(); n++) {
                 mayReadMore = read(buffer) == ReadResult.DATA && mayReadAhead();
@@ -921,7 +923,7 @@
             if (isOpen()) {
                 count("closed", reason);
                 LOG.debug("closing client {}: {}", id, reason);
-                reducer.closes(id);
+                reducer.recordClientClose(id);
                 closeSocket();
                 onLost();
             }
@@ -931,7 +933,7 @@
         @Override
         void abort() {
             if (isOpen() && !isClosing) {
-                reducer.clientGone(now(), id);
+                reducer.onClientDisconnected(now(), id);
                 protocol.abandon();
             } else {
                 fail();
@@ -950,12 +952,12 @@
             if (lingerTimeout != null) {
                 lingerTimeout.cancel();
             }
-            reducer.clientGone(now(), id);
+            reducer.onClientDisconnected(now(), id);
         }
     }
 
     @Override
-    public void answer(long clientId, long slot, Answer answer) {
+    public void answerClient(long clientId, long slot, Answer answer) {
         ClientLink link = clients.get(clientId);
         if (link != null) {
             link.answer(slot, answer);
@@ -987,9 +989,9 @@
 
         @Override
         boolean mayWriteQueued() {
-            boolean mayWrite = !isAwaitingAnswer || reducer.maySend(now(), id, isWriteProgressing());
+            boolean mayWrite = !isAwaitingAnswer || reducer.mayWriteQuery(now(), id, isWriteProgressing());
             if (!mayWrite) {
-                deferredTasks.add(() -> reducer.unsent(now(), id));
+                deferredTasks.add(() -> reducer.onQueryAbandoned(now(), id));
             }
             return mayWrite;
         }
@@ -997,7 +999,7 @@
         @Override
         void onFlushed() {
             if (isAwaitingAnswer) {
-                reducer.written(now(), id);
+                reducer.onQueryWritten(now(), id);
             }
         }
 
@@ -1014,26 +1016,26 @@
 
         @Override
         public void connectedToServer() {
-            reducer.connected(now(), id);
+            reducer.onServerConnected(now(), id);
         }
 
         @Override
         public void answered(ServerAnswer answer, boolean reusable) {
             isAwaitingAnswer = false;
-            reducer.answered(now(), id, answer, reusable);
+            reducer.onServerAnswer(now(), id, answer, reusable);
         }
 
         @Override
-        public void broken(Break kind) {
+        public void broken(DisconnectCause kind) {
             if (servers.remove(id) != null) {
                 closeSocket();
             }
-            reducer.broken(now(), id, kind);
+            reducer.onServerConnectionLost(now(), id, kind);
         }
     }
 
     @Override
-    public void open(long connectionId, InetSocketAddress endpoint) {
+    public void openConnection(long connectionId, InetSocketAddress endpoint) {
         ServerLink link = new ServerLink(connectionId);
         Opened<Connection> opened = poller.connect(endpoint, link);
         switch (opened.outcome()) {
@@ -1052,7 +1054,7 @@
             }
             case NOTHING_NOW, END_OF_STREAM, BROKEN, FATAL -> {
                 count("connection", "failed at once");
-                deferredTasks.add(() -> reducer.broken(now(), connectionId, Break.ENDED));
+                deferredTasks.add(() -> reducer.onServerConnectionLost(now(), connectionId, DisconnectCause.ENDED));
             }
         }
     }
@@ -1073,26 +1075,26 @@
     }
 
     @Override
-    public boolean quiet(long connectionId) {
+    public boolean hasNoUnreadData(long connectionId) {
         ServerLink link = servers.get(connectionId);
         return link != null && link.isQuiet();
     }
 
     @Override
-    public void query(long connectionId, Statement statement, long waitMillis) {
+    public void sendQuery(long connectionId, Statement statement, long waitMillis) {
         ServerLink link = servers.get(connectionId);
         if (link == null) {
             return;
         }
-        if (reducer.maySend(now(), connectionId, false)) {
+        if (reducer.mayWriteQuery(now(), connectionId, false)) {
             link.sendQuery(link.protocol.query(statement, waitMillis));
         } else {
-            deferredTasks.add(() -> reducer.unsent(now(), connectionId));
+            deferredTasks.add(() -> reducer.onQueryAbandoned(now(), connectionId));
         }
     }
 
     @Override
-    public void probe(long connectionId) {
+    public void sendProbe(long connectionId) {
         ServerLink link = servers.get(connectionId);
         if (link != null) {
             link.sendQuery(link.protocol.probe());
@@ -1100,7 +1102,7 @@
     }
 
     @Override
-    public void close(long connectionId) {
+    public void closeConnection(long connectionId) {
         unopenedServers.remove(connectionId);
         ServerLink link = servers.remove(connectionId);
         if (link != null) {
@@ -1180,7 +1182,7 @@
     @Override
     public void members(long now, Gateway.ListKind kind, List<ServerEntry> entries) {
         count("list", kind.name());
-        reducer.members(now, kind, entries);
+        reducer.onServerList(now, kind, entries);
         updateReadiness(kind != Gateway.ListKind.FAILED && kind != Gateway.ListKind.SILENT);
     }
 
@@ -1194,12 +1196,12 @@
     }
 
     @Override
-    public void watch(boolean enabled) {
+    public void watchServerList(boolean enabled) {
         deferredTasks.add(() -> discoveryClient.follow(now(), enabled));
     }
 
     @Override
-    public void fetch() {
+    public void fetchServerList() {
         deferredTasks.add(() -> discoveryClient.fetch(now()));
     }
 
@@ -1209,7 +1211,7 @@
     }
 
     @Override
-    public boolean traces() {
+    public boolean isTraceEnabled() {
         return eventCounts != null;
     }
 
@@ -1221,7 +1223,7 @@
     @Override
     public void count(String subject, String cause) {
         if (eventCounts != null) {
-            eventCounts.add(subject, cause);
+            eventCounts.increment(subject, cause);
         }
     }
 }
--- a/router/src/main/java/stoatrill/net/Link.java
+++ b/router/src/main/java/stoatrill/net/Link.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.util.ArrayDeque;
-import stoatrill.core.Deadlines.Deadline;
+import stoatrill.core.DeadlineQueue.Deadline;
 import stoatrill.io.Connection;
 import stoatrill.io.IoResult;
 
--- a/router/src/main/java/stoatrill/net/ServerProtocol.java
+++ b/router/src/main/java/stoatrill/net/ServerProtocol.java
@@ -1,7 +1,7 @@
 package stoatrill.net;
 
 import java.nio.ByteBuffer;
-import stoatrill.core.Break;
+import stoatrill.core.DisconnectCause;
 import stoatrill.core.ServerAnswer;
 import stoatrill.core.Statement;
 
@@ -20,7 +20,7 @@
         void answered(ServerAnswer answer, boolean reusable);
 
         /** The connection can no longer be used. */
-        void broken(Break how);
+        void broken(DisconnectCause how);
     }
 
     /** The bytes that open the conversation. */
--- a/router/src/main/java/stoatrill/pg/PgClient.java
+++ b/router/src/main/java/stoatrill/pg/PgClient.java
@@ -166,7 +166,7 @@
         PendingReply reply = new PendingReply(nextSlot++, false);
         pendingReplies.add(reply);
         try {
-            peer.request(reply.slot, PgStatement.parse(statement).by(team));
+            peer.request(reply.slot, PgStatement.parse(statement).withTeam(team));
         } catch (PgException e) {
             complete(
                     reply,
@@ -222,13 +222,13 @@
                     "ERROR",
                     "53300",
                     "no server has room, try again",
-                    refused.comeBackMillis() > 0 ? Long.toString(refused.comeBackMillis()) : null);
+                    refused.retryAfterMillis() > 0 ? Long.toString(refused.retryAfterMillis()) : null);
         } else if (answer instanceof Answer.Cancelled) {
             body = Messages.errorResponse("ERROR", "57014", "canceling statement due to user request", null);
         } else if (answer instanceof Answer.Failed failed) {
-            body = Messages.errorResponse("ERROR", "58000", failed.why(), null);
+            body = Messages.errorResponse("ERROR", "58000", failed.reason(), null);
         } else {
-            body = Messages.errorResponse("ERROR", "22023", ((Answer.Invalid) answer).why(), null);
+            body = Messages.errorResponse("ERROR", "22023", ((Answer.Invalid) answer).reason(), null);
         }
         return Messages.join(body, Messages.readyForQuery());
     }
--- a/router/src/main/java/stoatrill/pg/PgServer.java
+++ b/router/src/main/java/stoatrill/pg/PgServer.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
-import stoatrill.core.Break;
+import stoatrill.core.DisconnectCause;
 import stoatrill.core.ServerAnswer;
 import stoatrill.core.Statement;
 import stoatrill.net.ServerProtocol;
@@ -57,7 +57,7 @@
     @Override
     public byte[] query(Statement statement, long waitMillis) {
         beginQuery(false);
-        return Messages.query(statement.withWait(waitMillis));
+        return Messages.query(statement.encodeWithWait(waitMillis));
     }
 
     @Override
@@ -76,7 +76,7 @@
     public void received(ByteBuffer bytes) {
         if (phase == Phase.IDLE) {
             bytes.position(bytes.limit());
-            reportBroken(Break.ENDED); // no query is outstanding: the bytes would be read as the next answer
+            reportBroken(DisconnectCause.ENDED); // no query is outstanding: the bytes would be read as the next answer
             return;
         }
         input.append(bytes);
@@ -88,7 +88,7 @@
                 handleMessage();
             }
         } catch (PgException e) {
-            reportBroken(Break.SPOILT);
+            reportBroken(DisconnectCause.SPOILT);
         }
     }
 
@@ -268,11 +268,14 @@
             phase = Phase.CLOSED;
             deliverAnswer(false);
         } else if (phase != Phase.CLOSED) {
-            reportBroken(phase == Phase.STARTUP && "53300".equals(errorSqlState) ? Break.FULL : Break.ENDED);
+            reportBroken(
+                    phase == Phase.STARTUP && "53300".equals(errorSqlState)
+                            ? DisconnectCause.FULL
+                            : DisconnectCause.ENDED);
         }
     }
 
-    private void reportBroken(Break cause) {
+    private void reportBroken(DisconnectCause cause) {
         phase = Phase.CLOSED;
         peer.broken(cause);
     }
--- a/router/src/main/java/stoatrill/pg/PgStatement.java
+++ b/router/src/main/java/stoatrill/pg/PgStatement.java
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public byte[] withWait(long waitMillis) {
+    public byte[] encodeWithWait(long waitMillis) {
         return Messages.join(
                 Arrays.copyOf(text, waitStart),
                 Long.toString(waitMillis).getBytes(StandardCharsets.US_ASCII),
--- a/router/src/test/java/stoatrill/config/GeneratedSettingsTest.java
+++ b/router/src/test/java/stoatrill/config/GeneratedSettingsTest.java
@@ -19,8 +19,8 @@
 import stoatrill.core.Answer;
 import stoatrill.core.ClientRequest;
 import stoatrill.core.Clocks;
-import stoatrill.core.Deadlines;
-import stoatrill.core.QuietEffects;
+import stoatrill.core.DeadlineQueue;
+import stoatrill.core.NoOpEffects;
 import stoatrill.core.Reducer;
 import stoatrill.core.ServerAnswer;
 import stoatrill.core.Statement;
@@ -133,7 +133,7 @@
     }
 
     /** Servers that randomly answer, miss, fail, reset or hang. Counts the answers to each request. */
-    private static final class RandomServers extends QuietEffects {
+    private static final class RandomServers extends NoOpEffects {
         private final Random random;
         private final List<Runnable> pending = new ArrayList<>();
         private final int[] answerCounts;
@@ -150,24 +150,24 @@
         }
 
         @Override
-        public void open(long connection, InetSocketAddress endpoint) {
+        public void openConnection(long connection, InetSocketAddress endpoint) {
             runLater(() -> {
                 if (random.nextInt(8) > 0) {
-                    reducer.connected(nowNanos, connection);
+                    reducer.onServerConnected(nowNanos, connection);
                 } else {
-                    reducer.broken(nowNanos, connection, stoatrill.core.Break.ENDED);
+                    reducer.onServerConnectionLost(nowNanos, connection, stoatrill.core.DisconnectCause.ENDED);
                 }
             });
         }
 
         @Override
-        public void query(long connection, Statement statement, long waitMillis) {
-            reducer.written(connection);
+        public void sendQuery(long connection, Statement statement, long waitMillis) {
+            reducer.onQueryWritten(connection);
             answer(connection);
         }
 
         @Override
-        public void probe(long connection) {
+        public void sendProbe(long connection) {
             answer(connection);
         }
 
@@ -176,7 +176,7 @@
             int chance = random.nextInt(9);
             runLater(() -> {
                 if (chance < results.length) {
-                    reducer.answered(
+                    reducer.onServerAnswer(
                             nowNanos,
                             connection,
                             new ServerAnswer(
@@ -187,13 +187,13 @@
                                     new byte[1]),
                             true);
                 } else if (chance < 7) {
-                    reducer.broken(nowNanos, connection, stoatrill.core.Break.SPOILT);
+                    reducer.onServerConnectionLost(nowNanos, connection, stoatrill.core.DisconnectCause.SPOILT);
                 } // otherwise the server hangs
             });
         }
 
         @Override
-        public void answer(long client, long slot, Answer answer) {
+        public void answerClient(long client, long slot, Answer answer) {
             answerCounts[(int) slot]++;
         }
     }
@@ -208,7 +208,7 @@
         Reducer reducer = new Reducer(
                 servers,
                 new Clocks(START_NANOS, START_NANOS),
-                new Deadlines(),
+                new DeadlineQueue(),
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
@@ -219,16 +219,16 @@
                         30,
                         config.seed()));
         servers.reducer = reducer;
-        reducer.members(
+        reducer.onServerList(
                 START_NANOS, ListKind.CACHED, ServerList.parse(config.known()).entries());
         long[] deadlines = new long[requestCount];
-        for (int step = 0, slot = 0; step < 10_000 && (slot < requestCount || reducer.unanswered() > 0); step++) {
+        for (int step = 0, slot = 0; step < 10_000 && (slot < requestCount || reducer.unansweredCount() > 0); step++) {
             servers.nowNanos += MILLI_NANOS;
             if (slot < requestCount && random.nextInt(3) == 0) {
                 int classIndex = random.nextInt(deployment.classNames().size());
                 deadlines[slot] =
                         servers.nowNanos + deployment.giveUpMillis().get(classIndex) * MILLI_NANOS + 8 * MILLI_NANOS;
-                reducer.request(
+                reducer.onRequest(
                         servers.nowNanos,
                         1,
                         slot,
@@ -247,7 +247,7 @@
             for (int n = servers.pending.size() / 4; n > 0; n--) {
                 servers.pending.remove(0).run();
             }
-            reducer.tick(servers.nowNanos);
+            reducer.runDueDeadlines(servers.nowNanos);
             for (int i = 0; i < slot; i++) {
                 assertTrue(servers.answerCounts[i] <= 1, "two answers");
                 assertTrue(
@@ -255,7 +255,7 @@
                         "no answer before the deadline");
             }
         }
-        assertEquals(0, reducer.unanswered());
+        assertEquals(0, reducer.unansweredCount());
         assertEquals(Map.of(), reducer.brokenInvariants());
     }
 
--- a/router/src/test/java/stoatrill/core/AnsweredUnderFaultsTest.java
+++ b/router/src/test/java/stoatrill/core/AnsweredUnderFaultsTest.java
@@ -28,7 +28,7 @@
  * clients disconnect or cancel requests. Checks that each request whose client waits gets exactly one answer in time,
  * that no attempt begins for other requests, and that no server is told a longer wait than its client has left.
  */
-class AnsweredUnderFaultsTest extends QuietEffects {
+class AnsweredUnderFaultsTest extends NoOpEffects {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long START_TIME = 1_700_000_000_000L * NANOS_PER_MILLI;
     private static final int REQUEST_COUNT = 20_000;
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public byte[] withWait(long waitMillis) {
+        public byte[] encodeWithWait(long waitMillis) {
             return new byte[1];
         }
     }
@@ -84,7 +84,7 @@
         reducer = new Reducer(
                 this,
                 new Clocks(START_TIME, START_TIME),
-                new Deadlines(),
+                new DeadlineQueue(),
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
@@ -94,7 +94,8 @@
                         config.mostHeld(),
                         200,
                         seed));
-        reducer.members(now, ListKind.CACHED, ServerList.parse(config.known()).entries());
+        reducer.onServerList(
+                now, ListKind.CACHED, ServerList.parse(config.known()).entries());
     }
 
     private void advance(long millis) {
@@ -103,7 +104,7 @@
             while (!scheduledActions.isEmpty() && scheduledActions.firstKey() <= now) {
                 scheduledActions.pollFirstEntry().getValue().forEach(Runnable::run);
             }
-            reducer.tick(now);
+            reducer.runDueDeadlines(now);
         }
     }
 
@@ -128,7 +129,7 @@
                 new SimulatedRequest(random.nextInt(CLIENT_COUNT), now + waitMillis * NANOS_PER_MILLI);
         long slot = requests.size();
         requests.add(request);
-        reducer.request(
+        reducer.onRequest(
                 now,
                 request.client,
                 slot,
@@ -142,7 +143,7 @@
     private void cancelRequest(long slot) {
         SimulatedRequest request = requests.get((int) slot);
         request.endedByClientAt = Math.min(request.endedByClientAt, now);
-        reducer.cancelled(now, request.client, slot);
+        reducer.onRequestCancelled(now, request.client, slot);
     }
 
     private void disconnectClient(long client) {
@@ -153,12 +154,12 @@
                 request.endedByClientAt = Math.min(request.endedByClientAt, now);
             }
         }
-        reducer.clientGone(now, client);
+        reducer.onClientDisconnected(now, client);
     }
 
     private void updateServerList() throws Exception {
         if (randomlyTrue(0.4)) {
-            reducer.members(now, randomlyTrue(0.5) ? ListKind.FAILED : ListKind.SILENT, List.of());
+            reducer.onServerList(now, randomlyTrue(0.5) ? ListKind.FAILED : ListKind.SILENT, List.of());
             return;
         }
         String uid = List.of("r1", "r2", "p").get(random.nextInt(3));
@@ -166,7 +167,7 @@
         String entry = "{'uid':'" + uid + "','endpoint':'127.0.0.1:" + portOf(uid) + "','az':'"
                 + (uid.equals("r1") ? "north" : "south") + "','model':'m','pod_group':0,'state':'" + state
                 + "','access':'" + (uid.equals("p") ? "writer" : "reader") + "'}";
-        reducer.members(
+        reducer.onServerList(
                 now,
                 ListKind.DELTA,
                 ServerList.parse("{'rev':9,'all':false,'targets':[" + entry + "]}")
@@ -182,7 +183,7 @@
     }
 
     @Override
-    public void answer(long client, long slot, Answer answer) {
+    public void answerClient(long client, long slot, Answer answer) {
         SimulatedRequest request = requests.get((int) slot);
         request.answerCount++;
         servedCount += answer instanceof Answer.Served ? 1 : 0;
@@ -198,23 +199,26 @@
     // Servers
 
     @Override
-    public void open(long connection, InetSocketAddress endpoint) {
+    public void openConnection(long connection, InetSocketAddress endpoint) {
         serverByConnection.put(connection, serverByPort.get(endpoint.getPort()));
         openedAtByConnection.put(connection, now);
         int outcomeDraw = random.nextInt(100);
         if (outcomeDraw < 50) {
-            schedule(1 + random.nextInt(3), () -> reducer.connected(now, connection));
+            schedule(1 + random.nextInt(3), () -> reducer.onServerConnected(now, connection));
         } else if (outcomeDraw < 93) {
             schedule(
                     randomlyTrue(0.8) ? 25 + random.nextInt(100) : random.nextInt(1_500),
-                    () -> reducer.connected(now, connection));
+                    () -> reducer.onServerConnected(now, connection));
         } else if (outcomeDraw < 98) {
-            schedule(1, () -> reducer.broken(now, connection, outcomeDraw < 97 ? Break.ENDED : Break.FULL));
+            schedule(
+                    1,
+                    () -> reducer.onServerConnectionLost(
+                            now, connection, outcomeDraw < 97 ? DisconnectCause.ENDED : DisconnectCause.FULL));
         } // else it is never established
     }
 
     @Override
-    public void query(long connection, Statement statement, long waitMillis) {
+    public void sendQuery(long connection, Statement statement, long waitMillis) {
         SimulatedRequest request = (SimulatedRequest) statement;
         boolean isDelayed =
                 usedConnections.add(connection) && now - openedAtByConnection.get(connection) > 20 * NANOS_PER_MILLI;
@@ -243,19 +247,20 @@
         if (outcomeDraw < 2) {
             schedule(
                     random.nextInt(20),
-                    () -> reducer.broken(now, connection, Break.ENDED)); // before its last byte is written
+                    () -> reducer.onServerConnectionLost(
+                            now, connection, DisconnectCause.ENDED)); // before its last byte is written
             return;
         }
         if (outcomeDraw < 3) {
             return; // its last byte is never written
         }
-        schedule(1, () -> reducer.written(connection));
+        schedule(1, () -> reducer.onQueryWritten(connection));
         if (outcomeDraw < 5) {
             return; // hangs
         }
         if (outcomeDraw < 10) {
-            Break cause = outcomeDraw < 8 ? Break.ENDED : Break.SPOILT;
-            schedule(2 + random.nextInt(200), () -> reducer.broken(now, connection, cause));
+            DisconnectCause cause = outcomeDraw < 8 ? DisconnectCause.ENDED : DisconnectCause.SPOILT;
+            schedule(2 + random.nextInt(200), () -> reducer.onServerConnectionLost(now, connection, cause));
             return;
         }
         Result result = outcomeDraw < 14
@@ -263,7 +268,9 @@
                 : outcomeDraw < 16 ? Result.FULL : outcomeDraw < 17 ? Result.MISS : Result.OK;
         long serviceMillis = randomlyTrue(0.03) ? random.nextInt(2_000) : 3 + random.nextInt(40);
         boolean reusable = randomlyTrue(0.6);
-        schedule(2 + serviceMillis, () -> reducer.answered(now, connection, serverAnswer(server, result), reusable));
+        schedule(
+                2 + serviceMillis,
+                () -> reducer.onServerAnswer(now, connection, serverAnswer(server, result), reusable));
     }
 
     private ServerAnswer serverAnswer(String server, Result result) {
@@ -273,7 +280,7 @@
     }
 
     @Override
-    public boolean quiet(long connection) {
+    public boolean hasNoUnreadData(long connection) {
         return random == null || randomlyTrue(0.97);
     }
 
@@ -307,7 +314,7 @@
                 violations.subList(0, Math.min(SHOWN_VIOLATION_COUNT, violations.size())),
                 violations.size() + " violations");
         assertEquals(Map.of(), reducer.brokenInvariants());
-        assertEquals(0, reducer.unanswered());
+        assertEquals(0, reducer.unansweredCount());
         String summary = "seed " + seed + ": " + servedCount + " served, " + furtherAttemptCount + " further attempts, "
                 + delayedFurtherAttemptCount + " of them waited for their connection";
         System.out.println(summary);
--- a/router/src/test/java/stoatrill/core/DeadlinesTest.java
+++ b/router/src/test/java/stoatrill/core/DeadlineQueueTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Compares the timer queue with a sorted map on random calls, and checks the order of actions that add deadlines. */
-class DeadlinesTest {
+class DeadlineQueueTest {
 
     @Test
     void runsAndCancelsDeadlinesLikeASortedMap() {
         for (int seed = 0; seed < 50; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Deadlines deadlines = new Deadlines();
+            DeadlineQueue deadlines = new DeadlineQueue();
             TreeMap<List<Long>, Integer> pendingByTime = new TreeMap<>((a, b) ->
                     a.get(0).equals(b.get(0)) ? Long.compare(a.get(1), b.get(1)) : Long.compare(a.get(0), b.get(0)));
-            List<Deadlines.Deadline> created = new ArrayList<>();
+            List<DeadlineQueue.Deadline> created = new ArrayList<>();
             List<List<Long>> keys = new ArrayList<>();
             List<Integer> passed = new ArrayList<>();
             List<Integer> expected = new ArrayList<>();
@@ -32,7 +32,7 @@
                 if (created.isEmpty() || random.nextInt(5) < 3) {
                     int id = created.size();
                     long dueAt = now + random.nextLong(spanLimits[random.nextInt(4)]);
-                    created.add(deadlines.at(dueAt, () -> passed.add(id)));
+                    created.add(deadlines.schedule(dueAt, () -> passed.add(id)));
                     keys.add(List.of(dueAt, (long) id));
                     pendingByTime.put(keys.get(id), id);
                 } else if (random.nextInt(3) > 0) {
@@ -40,7 +40,7 @@
                     created.get(id).cancel();
                     pendingByTime.remove(keys.get(id));
                 } else {
-                    deadlines.sweep(now);
+                    deadlines.runDue(now);
                     while (!pendingByTime.isEmpty() && pendingByTime.firstKey().get(0) <= now) {
                         expected.add(pendingByTime.pollFirstEntry().getValue());
                     }
@@ -50,22 +50,22 @@
                         pendingByTime.isEmpty()
                                 ? Long.MAX_VALUE
                                 : pendingByTime.firstKey().get(0),
-                        deadlines.next());
+                        deadlines.nextDueAt());
             }
         }
     }
 
     @Test
     void runsADeadlineAddedByAnActionInTheNextSweep() {
-        Deadlines deadlines = new Deadlines();
+        DeadlineQueue deadlines = new DeadlineQueue();
         List<String> executed = new ArrayList<>();
-        deadlines.at(5, () -> {
+        deadlines.schedule(5, () -> {
             executed.add("first");
-            deadlines.at(5, () -> executed.add("second"));
+            deadlines.schedule(5, () -> executed.add("second"));
         });
-        deadlines.sweep(5);
+        deadlines.runDue(5);
         assertEquals(List.of("first"), executed);
-        deadlines.sweep(5);
+        deadlines.runDue(5);
         assertEquals(List.of("first", "second"), executed);
     }
 }
--- a/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
+++ b/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
@@ -26,7 +26,7 @@
  * when each change counts as notified. Reads and uploads arrive all the time. Some connections are established late and
  * some requests hang, so that sends wait, are retried and get second copies.
  */
-abstract class DrainNotificationHarness extends QuietEffects implements DiscoveryClient.Peer {
+abstract class DrainNotificationHarness extends NoOpEffects implements DiscoveryClient.Peer {
     static final long NANOS_PER_MILLI = 1_000_000L;
     static final long START_TIME = 1_700_000_000_000L * NANOS_PER_MILLI;
     /** The tolerance that the protocol adds to every time limit. */
@@ -94,7 +94,7 @@
         }
         Config config = Config.parse(configText, Map.of());
         askWithinNanos = config.settings().rules().listCallGrace();
-        Deadlines deadlines = new Deadlines();
+        DeadlineQueue deadlines = new DeadlineQueue();
         reducer = new Reducer(
                 this,
                 new Clocks(START_TIME, START_TIME),
@@ -110,7 +110,8 @@
                         config.seed()));
         client = new DiscoveryClient(
                 this, deadlines, "h", 5, DiscoveryClient.Timing.of(config.settings(), config.seed()));
-        reducer.members(now, ListKind.CACHED, ServerList.parse(config.known()).entries());
+        reducer.onServerList(
+                now, ListKind.CACHED, ServerList.parse(config.known()).entries());
         if (!isListOnRequest) {
             client.follow(now, true); // as the event loop does
         }
@@ -123,7 +124,7 @@
             while (!scheduledActions.isEmpty() && scheduledActions.firstKey() <= now) {
                 scheduledActions.pollFirstEntry().getValue().forEach(Runnable::run);
             }
-            reducer.tick(now);
+            reducer.runDueDeadlines(now);
             if (now / NANOS_PER_MILLI % 7 == 0) {
                 sendRequest("archive", false);
             }
@@ -141,7 +142,7 @@
 
     void sendRequest(String className, boolean writes) {
         long slot = nextSlot++;
-        reducer.request(
+        reducer.onRequest(
                 now,
                 1,
                 slot,
@@ -340,19 +341,21 @@
 
     @Override
     public void members(long eventTime, ListKind listKind, List<ServerEntry> entries) {
-        reducer.members(eventTime, listKind, entries);
+        reducer.onServerList(eventTime, listKind, entries);
     }
 
     // Effects of the reducer
 
     @Override
-    public void open(long id, InetSocketAddress endpoint) {
+    public void openConnection(long id, InetSocketAddress endpoint) {
         serverByConnection.put(id, serverByPort.get(endpoint.getPort()));
-        schedule(id % 3 == 0 ? 230 : connectMillis, () -> reducer.connected(now, id)); // some are established late
+        schedule(
+                id % 3 == 0 ? 230 : connectMillis,
+                () -> reducer.onServerConnected(now, id)); // some are established late
     }
 
     @Override
-    public void query(long id, Statement statement, long waitMillis) {
+    public void sendQuery(long id, Statement statement, long waitMillis) {
         String server = serverByConnection.get(id);
         long notifiedAt = notifiedAtByServer.getOrDefault(server, NEVER);
         sentCount++;
@@ -363,11 +366,11 @@
             lateSends.add(server + " " + (now - notifiedAt) / NANOS_PER_MILLI + " ms after the notification, at "
                     + (now - START_TIME) / NANOS_PER_MILLI);
         }
-        reducer.written(id);
+        reducer.onQueryWritten(id);
         if (sentCount % 9 != 0 || server.equals("p")) { // some reads hang and get a second copy
             schedule(
                     8,
-                    () -> reducer.answered(
+                    () -> reducer.onServerAnswer(
                             now,
                             id,
                             new ServerAnswer(
@@ -381,20 +384,20 @@
     }
 
     @Override
-    public void probe(long id) {
+    public void sendProbe(long id) {
         schedule(
                 2,
-                () -> reducer.answered(
+                () -> reducer.onServerAnswer(
                         now, id, new ServerAnswer(Result.OK, Role.UNKNOWN, -1, null, new byte[1]), true));
     }
 
     @Override
-    public void close(long id) {
+    public void closeConnection(long id) {
         serverByConnection.put(id, "closed");
     }
 
     @Override
-    public void watch(boolean enabled) {
+    public void watchServerList(boolean enabled) {
         schedule(0, () -> client.follow(now, enabled));
     }
 
@@ -487,6 +490,6 @@
                 .keySet()
                 .forEach(uid -> notifiedAtByServer.merge(uid, now + NOTIFIED_AFTER_MOVE_NANOS, Math::min));
         client.move(now, "elsewhere");
-        reducer.listMoved(now);
+        reducer.onDiscoveryMoved(now);
     }
 }
--- a/router/src/test/java/stoatrill/core/FleetWatchTest.java
+++ b/router/src/test/java/stoatrill/core/FleetWatchTest.java
@@ -49,8 +49,8 @@
     private record Call(Router router, int connection, long fromVersion, long arrivedAt, long holdUntil) {}
 
     /** A router's discovery client, reducer and module. */
-    private final class Router extends QuietEffects implements DiscoveryClient.Peer {
-        private final Deadlines deadlines = new Deadlines();
+    private final class Router extends NoOpEffects implements DiscoveryClient.Peer {
+        private final DeadlineQueue deadlines = new DeadlineQueue();
         private final List<Runnable> deferred = new ArrayList<>();
         private final Reducer reducer;
         private final DiscoveryClient client;
@@ -73,7 +73,7 @@
                             40,
                             seed));
             client = new DiscoveryClient(this, deadlines, "h", 5, DiscoveryClient.Timing.of(config.settings(), seed));
-            reducer.members(
+            reducer.onServerList(
                     now, ListKind.CACHED, ServerList.parse(config.known()).entries());
         }
 
@@ -81,7 +81,7 @@
             List<Runnable> due = List.copyOf(deferred);
             deferred.clear();
             due.forEach(Runnable::run);
-            reducer.tick(now);
+            reducer.runDueDeadlines(now);
         }
 
         @Override
@@ -129,7 +129,7 @@
         /** Changes discovery's address, as the event loop does for a new configuration. */
         void changeDiscoveryHost() {
             client.move(now, "elsewhere");
-            reducer.listMoved(now);
+            reducer.onDiscoveryMoved(now);
         }
 
         void breakConnection() {
@@ -145,11 +145,11 @@
         @Override
         public void members(long receivedAt, ListKind kind, List<ServerEntry> entries) {
             knownAt = knownAt < 0 && !entries.isEmpty() ? receivedAt : knownAt;
-            reducer.members(receivedAt, kind, entries);
+            reducer.onServerList(receivedAt, kind, entries);
         }
 
         @Override
-        public void watch(boolean enabled) {
+        public void watchServerList(boolean enabled) {
             deferred.add(() -> client.follow(now, enabled));
         }
     }
--- a/router/src/test/java/stoatrill/core/ReducerScenarioTest.java
+++ b/router/src/test/java/stoatrill/core/ReducerScenarioTest.java
@@ -66,7 +66,7 @@
         reducer = new Reducer(
                 this,
                 new Clocks(START_TIME, START_TIME),
-                new Deadlines(),
+                new DeadlineQueue(),
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
@@ -76,7 +76,8 @@
                         config.mostHeld(),
                         maxServerConnections,
                         config.seed()));
-        reducer.members(now, ListKind.CACHED, ServerList.parse(config.known()).entries());
+        reducer.onServerList(
+                now, ListKind.CACHED, ServerList.parse(config.known()).entries());
         Scenario.play(this, script);
     }
 
@@ -380,7 +381,7 @@
         r1 send ok
         c expect a served
         """);
-        reducer.serverConnections(now, 2);
+        reducer.setMaxServerConnections(now, 2);
         Scenario.play(this, """
         c send upload u 1000
         r1 expect nothing
@@ -388,8 +389,8 @@
         p send up
         p expect query u 1000
         """);
-        assertEquals(2, reducer.serverConnections());
-        reducer.serverConnections(now, 1);
+        assertEquals(2, reducer.serverConnectionCount());
+        reducer.setMaxServerConnections(now, 1);
         Scenario.play(this, """
         r1 expect close
         p expect nothing
@@ -448,7 +449,7 @@
     }
 
     private void updateServerList(boolean isFullList, String uid, String state) throws Exception {
-        reducer.members(
+        reducer.onServerList(
                 now,
                 isFullList ? ListKind.FULL : ListKind.DELTA,
                 ServerList.parse("{'rev':9,'targets':[{'uid':'" + uid
@@ -475,7 +476,7 @@
             boolean writes = words[0].equals("upload");
             String className = words[0].split("/", 0)[0];
             requestNameBySlot.put(nextSlot, words[1]);
-            reducer.request(
+            reducer.onRequest(
                     now,
                     1,
                     nextSlot++,
@@ -495,8 +496,8 @@
             switch (words[0]) {
                 case "stall" ->
                     now += Long.parseLong(words[1]) * NANOS_PER_MILLI; // the event loop is late: no deadline is swept
-                case "take" -> reducer.cancelled(now, 1, Long.parseLong(words[2]));
-                default -> reducer.failAll(now);
+                case "take" -> reducer.onRequestCancelled(now, 1, Long.parseLong(words[2]));
+                default -> reducer.failAllRequests(now);
             }
             return;
         }
@@ -514,18 +515,18 @@
         }
         Role role = actor.equals("p") ? Role.PRIMARY : Role.REPLICA;
         switch (words[0]) {
-            case "up" -> reducer.connected(now, connection);
-            case "taken" -> reducer.written(connection);
+            case "up" -> reducer.onServerConnected(now, connection);
+            case "taken" -> reducer.onQueryWritten(connection);
             case "noise" -> connectionsWithUnreadData.add(connection);
-            case "spoilt" -> reducer.broken(now, connection, Break.SPOILT);
+            case "spoilt" -> reducer.onServerConnectionLost(now, connection, DisconnectCause.SPOILT);
             case "future" ->
-                reducer.answered(
+                reducer.onServerAnswer(
                         now,
                         connection,
                         new ServerAnswer(Result.OK, role, now / NANOS_PER_MILLI + 60_000, null, new byte[1]),
                         true);
             default ->
-                reducer.answered(
+                reducer.onServerAnswer(
                         now,
                         connection,
                         new ServerAnswer(
@@ -547,18 +548,18 @@
     @Override
     public void close(String actor) {
         if (actor.equals("c")) {
-            reducer.clientGone(now, 1);
+            reducer.onClientDisconnected(now, 1);
         } else {
-            reducer.broken(now, latestConnectionByServer.get(actor), Break.ENDED);
+            reducer.onServerConnectionLost(now, latestConnectionByServer.get(actor), DisconnectCause.ENDED);
         }
     }
 
     @Override
     public void pass(long millis) {
         for (long end = now + millis * NANOS_PER_MILLI; now < end; now += NANOS_PER_MILLI) {
-            reducer.tick(now);
+            reducer.runDueDeadlines(now);
         }
-        reducer.tick(now);
+        reducer.runDueDeadlines(now);
     }
 
     private void recordEvent(String actor, String event) {
@@ -566,7 +567,7 @@
     }
 
     @Override
-    public void open(long connection, InetSocketAddress endpoint) {
+    public void openConnection(long connection, InetSocketAddress endpoint) {
         String server = serverByPort.get(endpoint.getPort());
         serverByConnection.put(connection, server);
         latestConnectionByServer.put(server, connection);
@@ -574,30 +575,30 @@
     }
 
     @Override
-    public void query(long connection, Statement statement, long waitMillis) {
+    public void sendQuery(long connection, Statement statement, long waitMillis) {
         latestConnectionByServer.put(serverByConnection.get(connection), connection);
         recordEvent(
                 serverByConnection.get(connection),
-                "query " + new String(statement.withWait(waitMillis), StandardCharsets.UTF_8));
+                "query " + new String(statement.encodeWithWait(waitMillis), StandardCharsets.UTF_8));
     }
 
     @Override
-    public boolean quiet(long connection) {
+    public boolean hasNoUnreadData(long connection) {
         return !connectionsWithUnreadData.contains(connection);
     }
 
     @Override
-    public void probe(long connection) {
+    public void sendProbe(long connection) {
         recordEvent(serverByConnection.get(connection), "probe");
     }
 
     @Override
-    public void close(long connection) {
+    public void closeConnection(long connection) {
         recordEvent(serverByConnection.get(connection), "close");
     }
 
     @Override
-    public void answer(long client, long slot, Answer answer) {
+    public void answerClient(long client, long slot, Answer answer) {
         assertTrue(requestNameBySlot.containsKey(slot));
         recordEvent(
                 "c",
@@ -606,12 +607,12 @@
     }
 
     @Override
-    public void watch(boolean enabled) {
+    public void watchServerList(boolean enabled) {
         recordEvent("list", "watch " + enabled);
     }
 
     @Override
-    public void fetch() {
+    public void fetchServerList() {
         recordEvent("list", "fetch");
     }
 
--- a/router/src/test/java/stoatrill/core/RestartsWithoutDiscoveryTest.java
+++ b/router/src/test/java/stoatrill/core/RestartsWithoutDiscoveryTest.java
@@ -62,8 +62,8 @@
     private record Call(Router router, int connection, boolean isHeld, long arrivedAt) {}
 
     /** A router's discovery client, reducer and module, with servers that answer each query at once. */
-    private final class Router extends QuietEffects implements DiscoveryClient.Peer {
-        private final Deadlines deadlines = new Deadlines();
+    private final class Router extends NoOpEffects implements DiscoveryClient.Peer {
+        private final DeadlineQueue deadlines = new DeadlineQueue();
         private final List<Runnable> deferred = new ArrayList<>();
         private final Reducer reducer;
         private final DiscoveryClient client;
@@ -88,7 +88,7 @@
                             seed));
             client = new DiscoveryClient(
                     this, deadlines, "h", KNOWN_VERSION, DiscoveryClient.Timing.of(config.settings(), seed));
-            reducer.members(
+            reducer.onServerList(
                     now, ListKind.CACHED, ServerList.parse(config.known()).entries());
         }
 
@@ -96,11 +96,11 @@
             List<Runnable> due = List.copyOf(deferred);
             deferred.clear();
             due.forEach(Runnable::run);
-            reducer.tick(now);
+            reducer.runDueDeadlines(now);
         }
 
         void sendRequest(long slot, String requestClass, boolean isWrite) {
-            reducer.request(
+            reducer.onRequest(
                     now,
                     1,
                     slot,
@@ -108,15 +108,15 @@
         }
 
         @Override
-        public void open(long connectionId, InetSocketAddress endpoint) {
-            deferred.add(() -> reducer.connected(now, connectionId));
+        public void openConnection(long connectionId, InetSocketAddress endpoint) {
+            deferred.add(() -> reducer.onServerConnected(now, connectionId));
         }
 
         @Override
-        public void query(long connectionId, Statement statement, long waitMillis) {
+        public void sendQuery(long connectionId, Statement statement, long waitMillis) {
             deferred.add(() -> {
-                reducer.written(connectionId);
-                reducer.answered(
+                reducer.onQueryWritten(connectionId);
+                reducer.onServerAnswer(
                         now,
                         connectionId,
                         new ServerAnswer(Result.OK, Role.UNKNOWN, now / NANOS_PER_MILLI, null, new byte[1]),
@@ -125,18 +125,18 @@
         }
 
         @Override
-        public void answer(long clientId, long slot, Answer answer) {
+        public void answerClient(long clientId, long slot, Answer answer) {
             answered++;
             served += answer instanceof Answer.Served ? 1 : 0;
         }
 
         @Override
-        public void watch(boolean enabled) {
+        public void watchServerList(boolean enabled) {
             deferred.add(() -> client.follow(now, enabled));
         }
 
         @Override
-        public void fetch() {
+        public void fetchServerList() {
             deferred.add(() -> client.fetch(now));
         }
 
@@ -177,7 +177,7 @@
         public void members(long receivedAt, ListKind kind, List<ServerEntry> entries) {
             boolean listed = kind == ListKind.FULL || kind == ListKind.DELTA;
             listedAt = listed && listedAt < 0 ? receivedAt : listedAt;
-            reducer.members(receivedAt, kind, entries);
+            reducer.onServerList(receivedAt, kind, entries);
         }
 
         void breakConnection() {
--- a/router/src/test/java/stoatrill/core/EndingTest.java
+++ b/router/src/test/java/stoatrill/core/ShutdownTest.java
@@ -13,7 +13,7 @@
 import stoatrill.scenario.Scenario;
 
 /** At shutdown, each open request is failed and the module is notified, so that it begins no further attempts. */
-class EndingTest {
+class ShutdownTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long START_TIME = 1_767_225_600_000L * NANOS_PER_MILLI;
     private static final int REQUEST_COUNT = 5;
@@ -38,17 +38,17 @@
     void notifiesTheModuleOfRequestsFailedAtShutdown() throws Exception {
         Config config = Config.parse(Scenario.config(), Map.of());
         Reducer reducer = new Reducer(
-                new QuietEffects() {
+                new NoOpEffects() {
                     @Override
-                    public void open(long connection, java.net.InetSocketAddress endpoint) {}
+                    public void openConnection(long connection, java.net.InetSocketAddress endpoint) {}
 
                     @Override
-                    public void answer(long client, long slot, Answer answer) {
+                    public void answerClient(long client, long slot, Answer answer) {
                         answers.add(answer);
                     }
                 },
                 new Clocks(START_TIME, 0),
-                new Deadlines(),
+                new DeadlineQueue(),
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
@@ -59,19 +59,19 @@
                         100,
                         config.seed()),
                 gateway -> createModuleWithoutAnswers());
-        reducer.members(
+        reducer.onServerList(
                 START_TIME,
                 Gateway.ListKind.CACHED,
                 ServerList.parse(config.known()).entries());
         for (int slot = 0; slot < REQUEST_COUNT; slot++) {
-            reducer.request(
+            reducer.onRequest(
                     START_TIME,
                     1,
                     slot,
                     new ClientRequest("q" + slot, "archive", "k", 0, 4_000, 0, false, false, wait -> new byte[1]));
         }
         assertEquals(REQUEST_COUNT, openRequests.size());
-        reducer.failAll(START_TIME + NANOS_PER_MILLI);
+        reducer.failAllRequests(START_TIME + NANOS_PER_MILLI);
         assertEquals(REQUEST_COUNT, answers.size());
         assertEquals(List.of(), openRequests);
     }
--- a/router/src/test/java/stoatrill/discovery/DiscoveryScenarioTest.java
+++ b/router/src/test/java/stoatrill/discovery/DiscoveryScenarioTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import stoatrill.Gateway.ListKind;
-import stoatrill.core.Deadlines;
+import stoatrill.core.DeadlineQueue;
 import stoatrill.core.ServerEntry;
 import stoatrill.discovery.DiscoveryClient.Timing;
 import stoatrill.scenario.Scenario;
@@ -37,7 +37,7 @@
       list expect DELTA 0
       """;
     private final ArrayDeque<String> events = new ArrayDeque<>();
-    private final Deadlines deadlines = new Deadlines();
+    private final DeadlineQueue deadlines = new DeadlineQueue();
     private DiscoveryClient client;
     private long now = 1_000 * NANOS_PER_MILLI;
     private long holdMillis;
@@ -150,7 +150,7 @@
         for (int i = 0; i < waits.length; i++) {
             client = new DiscoveryClient(
                     this,
-                    new Deadlines(),
+                    new DeadlineQueue(),
                     "h",
                     4,
                     new Timing(false, 20_000 * NANOS_PER_MILLI, 500 * NANOS_PER_MILLI, 2_500 * NANOS_PER_MILLI, i));
@@ -331,7 +331,7 @@
     @Override
     public void pass(long millis) {
         now += millis * NANOS_PER_MILLI;
-        deadlines.sweep(now);
+        deadlines.runDue(now);
     }
 
     @Override
--- a/router/src/test/java/stoatrill/pg/PgClientPiecesTest.java
+++ b/router/src/test/java/stoatrill/pg/PgClientPiecesTest.java
@@ -41,7 +41,8 @@
 
         @Override
         public void request(long slot, ClientRequest request) {
-            requests.add(request.id() + " " + request.kind() + " " + request.waitMillis() + " " + request.group());
+            requests.add(
+                    request.id() + " " + request.requestClass() + " " + request.waitMillis() + " " + request.group());
             client.answer(slot, new Answer.Refused(slot));
         }
 
--- a/router/src/test/java/stoatrill/pg/PgServerScenarioTest.java
+++ b/router/src/test/java/stoatrill/pg/PgServerScenarioTest.java
@@ -9,7 +9,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import stoatrill.core.Break;
+import stoatrill.core.DisconnectCause;
 import stoatrill.core.ServerAnswer;
 import stoatrill.net.ServerProtocol;
 import stoatrill.scenario.Scenario;
@@ -205,7 +205,7 @@
     }
 
     @Override
-    public void broken(Break cause) {
+    public void broken(DisconnectCause cause) {
         events.add("broken " + cause);
     }
 }
