--- a/lab/src/main/java/stoatrill/lab/scale/faketime/ProbeBytes.java
+++ b/lab/src/main/java/stoatrill/lab/scale/faketime/ProbeBytes.java
@@ -25,29 +25,29 @@
     static int both() {
         Check check = new Check();
         PgServer protocol = new PgServer(check);
-        protocol.received(ByteBuffer.wrap(greeting()));
-        byte[] query = protocol.probe();
+        protocol.receive(ByteBuffer.wrap(greeting()));
+        byte[] query = protocol.encodeProbe();
         byte[] answer = answer();
-        protocol.received(ByteBuffer.wrap(answer));
+        protocol.receive(ByteBuffer.wrap(answer));
         if (!check.accepted) {
             throw new IllegalStateException("the modelled answer to a probe was not accepted");
         }
         return query.length + answer.length;
     }
 
-    private static final class Check implements ServerProtocol.Peer {
+    private static final class Check implements ServerProtocol.Environment {
         private boolean accepted;
 
         @Override
-        public void connectedToServer() {}
+        public void onStartupComplete() {}
 
         @Override
-        public void answered(ServerAnswer answer, boolean reusable) {
+        public void onAnswer(ServerAnswer answer, boolean reusable) {
             accepted = reusable && answer.report() != null;
         }
 
         @Override
-        public void broken(DisconnectCause how) {}
+        public void onBroken(DisconnectCause how) {}
     }
 
     private static byte[] greeting() {
--- a/router/src/main/java/stoatrill/config/Config.java
+++ b/router/src/main/java/stoatrill/config/Config.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import stoatrill.Gateway;
 import stoatrill.contract.Contracts;
+import stoatrill.io.CallResult;
 import stoatrill.io.FileReader;
-import stoatrill.io.Opened;
 import stoatrill.io.SystemCalls;
 import stoatrill.settings.SettingsException;
 import stoatrill.wire.MalformedInputException;
@@ -78,12 +78,12 @@
     }
 
     private static String readFile(String variable, String file) throws ConfigException {
-        Opened<String> result = new FileReader(SystemCalls.PLATFORM).text(file);
+        CallResult<String> result = new FileReader(SystemCalls.PLATFORM).readText(file);
         return switch (result.outcome()) {
             case PROGRESS -> result.value();
-            case NO_RESOURCE -> throw new ConfigException(readError(variable, file, result.why()), true);
-            case FATAL, NOTHING_NOW, END_OF_STREAM, BROKEN ->
-                throw new ConfigException(readError(variable, file, result.why()));
+            case TEMPORARY_FAILURE -> throw new ConfigException(readError(variable, file, result.reason()), true);
+            case PERMANENT_FAILURE, WOULD_BLOCK, END_OF_STREAM, BROKEN ->
+                throw new ConfigException(readError(variable, file, result.reason()));
         };
     }
 
--- a/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
+++ b/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
@@ -243,7 +243,7 @@
 
     /** Discovery has closed the connection in order, which completes a response without a length. */
     public void ended(long now) {
-        handleDisconnect(now, parser.end());
+        handleDisconnect(now, parser.finishOnClose());
     }
 
     /** The connection could not be opened or was reset, which does not complete a response. */
--- a/router/src/main/java/stoatrill/http/ResponseParser.java
+++ b/router/src/main/java/stoatrill/http/ResponseParser.java
@@ -71,7 +71,7 @@
     }
 
     /** Called once the connection has closed: returns the response that this completes, or null. */
-    public Response end() {
+    public Response finishOnClose() {
         return state == State.BODY_UNTIL_CLOSE ? completeResponse() : null;
     }
 
--- a/router/src/main/java/stoatrill/io/Connection.java
+++ b/router/src/main/java/stoatrill/io/Connection.java
@@ -24,8 +24,8 @@
     private final Poller poller;
     private final SocketChannel channel;
     private final SelectionKey key;
-    private final Repeats readRetries = new Repeats();
-    private final Repeats writeRetries = new Repeats();
+    private final RetryWindow readRetries = new RetryWindow();
+    private final RetryWindow writeRetries = new RetryWindow();
     /** The interest set of the owner; that of the key is larger while the registration is unconfirmed. */
     private int wantedInterest;
     /** Whether no event has shown yet that the system has the registration. */
@@ -77,7 +77,7 @@
         }
     }
 
-    private IoResult transfer(Call call, Repeats retries, boolean isRead) {
+    private IoResult transfer(Call call, RetryWindow retries, boolean isRead) {
         IoResult lastFailure = IoResult.INTERRUPTED;
         int brokenCount = 0;
         for (int attempt = 0; attempt < ATTEMPT_LIMIT && brokenCount <= BROKEN_RETRY_LIMIT; attempt++) {
@@ -95,7 +95,7 @@
                 }
             } catch (IOException e) {
                 lastFailure = IoResult.failed(IoErrors.classify(e), e);
-                if (lastFailure.outcome() == Outcome.FATAL) {
+                if (lastFailure.outcome() == Outcome.PERMANENT_FAILURE) {
                     return lastFailure;
                 }
                 brokenCount += lastFailure.outcome() == Outcome.BROKEN ? 1 : 0;
@@ -104,7 +104,7 @@
         if (brokenCount > BROKEN_RETRY_LIMIT || !retries.mayRetry(System.nanoTime())) {
             return new IoResult(Outcome.BROKEN, 0, lastFailure.reason());
         }
-        return new IoResult(Outcome.NO_RESOURCE, 0, lastFailure.reason());
+        return new IoResult(Outcome.TEMPORARY_FAILURE, 0, lastFailure.reason());
     }
 
     /**
@@ -112,7 +112,7 @@
      * a connection that is not quiet must be closed.
      */
     public boolean isQuiet() {
-        return read(poller.probeBuffer()).outcome() == Outcome.NOTHING_NOW;
+        return read(poller.probeBuffer()).outcome() == Outcome.WOULD_BLOCK;
     }
 
     /** Checks a pending connect: {@link Outcome#PROGRESS} if the connection is established. */
--- a/router/src/main/java/stoatrill/io/FileReader.java
+++ b/router/src/main/java/stoatrill/io/FileReader.java
@@ -17,33 +17,35 @@
     }
 
     /**
-     * Reads a text file in UTF-8. {@link Outcome#FATAL} if there is no such file or it isn't text,
-     * {@link Outcome#NO_RESOURCE} for every other failure, which may be temporary.
+     * Reads a text file in UTF-8. {@link Outcome#PERMANENT_FAILURE} if there is no such file or it isn't text,
+     * {@link Outcome#TEMPORARY_FAILURE} for every other failure, which may be temporary.
      */
-    public Opened<String> text(String file) {
+    public CallResult<String> readText(String file) {
         try {
             ByteBuffer bytes = ByteBuffer.wrap(calls.readFile(Path.of(file)));
-            return Opened.success(
+            return CallResult.success(
                     StandardCharsets.UTF_8.newDecoder().decode(bytes).toString());
         } catch (NoSuchFileException | CharacterCodingException | InvalidPathException e) {
-            return Opened.failure(Outcome.FATAL, e.getClass().getSimpleName());
+            return CallResult.failure(Outcome.PERMANENT_FAILURE, e.getClass().getSimpleName());
         } catch (IOException e) {
-            return Opened.failure(Outcome.NO_RESOURCE, e.getClass().getSimpleName());
+            return CallResult.failure(Outcome.TEMPORARY_FAILURE, e.getClass().getSimpleName());
         }
     }
 
     /**
-     * Reads the first bytes of a file that may have no end. {@link Outcome#NO_RESOURCE} if they can't be read
+     * Reads the first bytes of a file that may have no end. {@link Outcome#TEMPORARY_FAILURE} if they can't be read
      * at the moment.
      */
-    public Opened<byte[]> firstBytes(String file, int byteCount) {
+    public CallResult<byte[]> readFirstBytes(String file, int byteCount) {
         try {
             byte[] read = calls.readFirstBytes(Path.of(file), byteCount);
-            return read.length == byteCount ? Opened.success(read) : Opened.failure(Outcome.FATAL, "file is too short");
+            return read.length == byteCount
+                    ? CallResult.success(read)
+                    : CallResult.failure(Outcome.PERMANENT_FAILURE, "file is too short");
         } catch (NoSuchFileException | InvalidPathException e) {
-            return Opened.failure(Outcome.FATAL, e.getClass().getSimpleName());
+            return CallResult.failure(Outcome.PERMANENT_FAILURE, e.getClass().getSimpleName());
         } catch (IOException e) {
-            return Opened.failure(Outcome.NO_RESOURCE, e.getClass().getSimpleName());
+            return CallResult.failure(Outcome.TEMPORARY_FAILURE, e.getClass().getSimpleName());
         }
     }
 }
--- a/router/src/main/java/stoatrill/io/IoErrors.java
+++ b/router/src/main/java/stoatrill/io/IoErrors.java
@@ -22,18 +22,20 @@
     private IoErrors() {}
 
     /**
-     * Classifies a failed call: {@link Outcome#FATAL} if the channel is closed, {@link Outcome#BROKEN} if the
-     * system reports a broken connection. Everything else may be temporary: errors for which the manual pages document
-     * that the call may succeed when retried, and errors that they don't mention.
+     * Classifies a failed call: {@link Outcome#PERMANENT_FAILURE} if the channel is closed, {@link Outcome#BROKEN} if
+     * the system reports a broken connection. Everything else may be temporary: errors for which the manual pages
+     * document that the call may succeed when retried, and errors that they don't mention.
      */
     static Outcome classify(IOException error) {
         if (error instanceof ClosedChannelException) {
-            return Outcome.FATAL;
+            return Outcome.PERMANENT_FAILURE;
         }
         if (error instanceof ConnectException || error instanceof NoRouteToHostException) {
             return Outcome.BROKEN;
         }
         String message = String.valueOf(error.getMessage());
-        return BROKEN_CONNECTION_TEXTS.stream().anyMatch(message::contains) ? Outcome.BROKEN : Outcome.NO_RESOURCE;
+        return BROKEN_CONNECTION_TEXTS.stream().anyMatch(message::contains)
+                ? Outcome.BROKEN
+                : Outcome.TEMPORARY_FAILURE;
     }
 }
--- a/router/src/main/java/stoatrill/io/IoResult.java
+++ b/router/src/main/java/stoatrill/io/IoResult.java
@@ -8,9 +8,9 @@
  */
 public record IoResult(Outcome outcome, int bytes, String reason) {
     static final IoResult DONE = new IoResult(Outcome.PROGRESS, 0, "");
-    static final IoResult NOTHING_NOW = new IoResult(Outcome.NOTHING_NOW, 0, "");
+    static final IoResult NOTHING_NOW = new IoResult(Outcome.WOULD_BLOCK, 0, "");
     static final IoResult END_OF_STREAM = new IoResult(Outcome.END_OF_STREAM, 0, "");
-    static final IoResult INTERRUPTED = new IoResult(Outcome.NO_RESOURCE, 0, "interrupted");
+    static final IoResult INTERRUPTED = new IoResult(Outcome.TEMPORARY_FAILURE, 0, "interrupted");
 
     static IoResult progress(int bytes) {
         return new IoResult(Outcome.PROGRESS, bytes, "");
--- a/router/src/main/java/stoatrill/io/Listener.java
+++ b/router/src/main/java/stoatrill/io/Listener.java
@@ -42,17 +42,17 @@
     }
 
     /**
-     * Accepts the next connection. {@link Outcome#NOTHING_NOW} if none waits, or if the waiting one has failed in the
-     * meantime, which Linux reports as an error of this call; {@link Outcome#NO_RESOURCE} if there is no descriptor
-     * or memory for it.
+     * Accepts the next connection. {@link Outcome#WOULD_BLOCK} if none waits, or if the waiting one has failed in the
+     * meantime, which Linux reports as an error of this call; {@link Outcome#TEMPORARY_FAILURE} if there is no
+     * descriptor or memory for it.
      */
-    public Opened<SocketChannel> accept() {
+    public CallResult<SocketChannel> accept() {
         try {
             SocketChannel accepted = calls.accept(channel);
-            return accepted == null ? Opened.failure(Outcome.NOTHING_NOW, "") : Opened.success(accepted);
+            return accepted == null ? CallResult.failure(Outcome.WOULD_BLOCK, "") : CallResult.success(accepted);
         } catch (IOException e) {
-            return Opened.failure(
-                    IoErrors.classify(e) == Outcome.BROKEN ? Outcome.NOTHING_NOW : IoErrors.classify(e),
+            return CallResult.failure(
+                    IoErrors.classify(e) == Outcome.BROKEN ? Outcome.WOULD_BLOCK : IoErrors.classify(e),
                     String.valueOf(e.getMessage()));
         }
     }
--- a/router/src/main/java/stoatrill/io/Outcome.java
+++ b/router/src/main/java/stoatrill/io/Outcome.java
@@ -5,13 +5,13 @@
     /** The call succeeded, at least in part. */
     PROGRESS,
     /** The call would block: there is no data or no room at the moment; the selector reports when that changes. */
-    NOTHING_NOW,
+    WOULD_BLOCK,
     /** The peer has shut down its sending side after all its data. */
     END_OF_STREAM,
     /** The connection can no longer be used: it was reset, or could not be established. */
     BROKEN,
     /** The call failed temporarily (interrupted, no memory, no descriptor) and is to be retried. */
-    NO_RESOURCE,
+    TEMPORARY_FAILURE,
     /** The call can never succeed: the channel is closed, or the file is missing or unusable. */
-    FATAL
+    PERMANENT_FAILURE
 }
--- a/router/src/main/java/stoatrill/io/Poller.java
+++ b/router/src/main/java/stoatrill/io/Poller.java
@@ -68,7 +68,7 @@
             return IoResult.progress(found);
         } catch (IOException e) {
             // either the call itself or a pending close that it carried out has failed; the caller retries
-            return IoResult.failed(Outcome.NO_RESOURCE, e);
+            return IoResult.failed(Outcome.TEMPORARY_FAILURE, e);
         }
     }
 
@@ -103,32 +103,32 @@
     // ---- Connections ----
 
     /** Begins a connection: {@link Connection#finishConnect} tells when it is established. */
-    public Opened<Connection> connect(InetSocketAddress address, Object owner) {
+    public CallResult<Connection> connect(InetSocketAddress address, Object owner) {
         SocketChannel channel;
         try {
             channel = calls.openSocket();
         } catch (IOException e) {
-            return Opened.failure(Outcome.NO_RESOURCE, String.valueOf(e.getMessage()));
+            return CallResult.failure(Outcome.TEMPORARY_FAILURE, String.valueOf(e.getMessage()));
         }
         try {
             prepare(channel);
             Connection connection = new Connection(calls, this, channel, SelectionKey.OP_CONNECT, owner);
             connection.connect(address);
-            return Opened.success(connection);
+            return CallResult.success(connection);
         } catch (IOException e) {
             closeQuietly(channel);
-            return Opened.failure(Outcome.BROKEN, String.valueOf(e.getMessage()));
+            return CallResult.failure(Outcome.BROKEN, String.valueOf(e.getMessage()));
         }
     }
 
     /** Registers a connected socket for reading. */
-    public Opened<Connection> adopt(SocketChannel channel, Object owner) {
+    public CallResult<Connection> adopt(SocketChannel channel, Object owner) {
         try {
             prepare(channel);
-            return Opened.success(new Connection(calls, this, channel, SelectionKey.OP_READ, owner));
+            return CallResult.success(new Connection(calls, this, channel, SelectionKey.OP_READ, owner));
         } catch (IOException e) {
             closeQuietly(channel);
-            return Opened.failure(Outcome.BROKEN, String.valueOf(e.getMessage()));
+            return CallResult.failure(Outcome.BROKEN, String.valueOf(e.getMessage()));
         }
     }
 
--- a/router/src/main/java/stoatrill/io/Repeats.java
+++ b/router/src/main/java/stoatrill/io/RetryWindow.java
@@ -4,7 +4,7 @@
  * Bounds the time for which failing calls on one connection are retried, so that a connection whose calls fail in an
  * undocumented way does not wait forever. Not thread-safe.
  */
-final class Repeats {
+final class RetryWindow {
     /** Longer than a temporary shortage is expected to last, and shorter than most clients wait. */
     private static final long RETRY_WINDOW_NANOS = 2_000_000_000L;
 
--- a/router/src/main/java/stoatrill/net/CancelKeys.java
+++ b/router/src/main/java/stoatrill/net/CancelKeys.java
@@ -4,8 +4,8 @@
 import java.nio.ByteOrder;
 import java.security.SecureRandom;
 import java.util.function.LongPredicate;
+import stoatrill.io.CallResult;
 import stoatrill.io.FileReader;
-import stoatrill.io.Opened;
 import stoatrill.io.Outcome;
 
 /**
@@ -41,7 +41,7 @@
 
     private static byte[] readSecret(FileReader files) {
         for (int attempt = 0; attempt < READ_ATTEMPT_LIMIT; attempt++) {
-            Opened<byte[]> read = files.firstBytes(RANDOM_SOURCE, SECRET_BYTES);
+            CallResult<byte[]> read = files.readFirstBytes(RANDOM_SOURCE, SECRET_BYTES);
             if (read.outcome() == Outcome.PROGRESS) {
                 return read.value();
             }
--- a/router/src/main/java/stoatrill/net/ClientProtocol.java
+++ b/router/src/main/java/stoatrill/net/ClientProtocol.java
@@ -11,15 +11,15 @@
 public interface ClientProtocol {
 
     /** What the protocol of a connection requires of the event loop. */
-    interface Peer {
+    interface Environment {
         /** Submits a complete request; {@link ClientProtocol#answer} delivers its answer with the same slot. */
-        void request(long slot, ClientRequest request);
+        void submit(long slot, ClientRequest request);
 
-        /** Whether the router is ready; if not, {@link ClientProtocol#ready} is called once it is. */
-        boolean ready();
+        /** Whether the router is ready; if not, {@link ClientProtocol#onReady} is called once it is. */
+        boolean isReady();
 
-        /** Requests a call of {@link ClientProtocol#proceed} in the next iteration of the loop. */
-        void proceedLater();
+        /** Requests a call of {@link ClientProtocol#readCommands} in the next iteration of the loop. */
+        void scheduleCommands();
 
         /**
          * The key by which another connection can cancel a request of this one. It can't be guessed and is unique to
@@ -28,61 +28,61 @@
         long cancelKey();
 
         /** Cancels the request that the connection with the given key waits for; has no effect if there is none. */
-        void cancel(long key);
+        void cancelByKey(long key);
 
         /** Cancels the request with the given slot; its answer still follows. */
-        void takeBack(long slot);
+        void cancelRequest(long slot);
 
         /** Writes the bytes, or queues them until the socket takes them. */
         void write(byte[] bytes);
 
         /** Closes the connection once everything written has been sent. */
-        void close();
+        void closeAfterWrites();
     }
 
-    /** Takes received bytes; all of them are buffered until {@link #proceed}. */
-    void received(ByteBuffer bytes);
+    /** Takes received bytes; all of them are buffered until {@link #readCommands}. */
+    void receive(ByteBuffer bytes);
 
     /** Reads commands from the received bytes, a limited number at a time. */
-    void proceed();
+    void readCommands();
 
     /** Cancels the request that has waited longest for its answer, if there is one. */
-    void cancel();
+    void cancelOldest();
 
     /** Takes the final answer to a request; it is written once all answers before it are. */
     void answer(long slot, Answer answer);
 
     /** Called once the router has become ready. */
-    void ready();
+    void onReady();
 
     /** The number of complete commands read. */
-    long commands();
+    long commandCount();
 
     /** The number of commands read that still wait for their answer. */
-    int waiting();
+    int unansweredCount();
 
     /** The number of received bytes that have not been read as a command yet. */
-    int held();
+    int unparsedBytes();
 
     /** Whether the answer to this slot can be written at once because all answers before it are written. */
     boolean isNext(long slot);
 
     /** The number of bytes of answers that are held back until the answers before them have arrived. */
-    long unwritten();
+    long heldBackBytes();
 
     /** Whether a command still waits for its answer, or part of a command has been received. */
-    default boolean busy() {
-        return waiting() > 0 || held() > 0;
+    default boolean isBusy() {
+        return unansweredCount() > 0 || unparsedBytes() > 0;
     }
 
     /** Whether so many commands are unanswered that no further command is read for now. */
-    boolean congested();
+    boolean isCongested();
 
     /** Rejects the client because the router has no room for it. */
-    void turnAway();
+    void reject();
 
     /** Ends the conversation after an internal failure: every command that waits for its answer gets an error now. */
-    void abandon();
+    void failAll();
 
     /** Ends the conversation because a message was not completed in time or is too large to buffer. */
     void expire();
--- a/router/src/main/java/stoatrill/net/EventLoop.java
+++ b/router/src/main/java/stoatrill/net/EventLoop.java
@@ -33,10 +33,10 @@
 import stoatrill.core.Statement;
 import stoatrill.discovery.DiscoveryClient;
 import stoatrill.discovery.ServerList;
+import stoatrill.io.CallResult;
 import stoatrill.io.Connection;
 import stoatrill.io.FileReader;
 import stoatrill.io.Listener;
-import stoatrill.io.Opened;
 import stoatrill.io.Outcome;
 import stoatrill.io.Poller;
 import stoatrill.io.SystemCalls;
@@ -127,8 +127,8 @@
     private final Config config;
     private InetSocketAddress fileDiscoveryAddress;
     private InetSocketAddress discoveryAddress;
-    private final Function<ClientProtocol.Peer, ClientProtocol> clientProtocolFactory;
-    private final Function<ServerProtocol.Peer, ServerProtocol> serverProtocolFactory;
+    private final Function<ClientProtocol.Environment, ClientProtocol> clientProtocolFactory;
+    private final Function<ServerProtocol.Environment, ServerProtocol> serverProtocolFactory;
     private final Poller poller;
     private final Listener listener;
     private final Clocks clocks;
@@ -194,8 +194,8 @@
      */
     public EventLoop(
             Config config,
-            Function<ClientProtocol.Peer, ClientProtocol> clientProtocolFactory,
-            Function<ServerProtocol.Peer, ServerProtocol> serverProtocolFactory)
+            Function<ClientProtocol.Environment, ClientProtocol> clientProtocolFactory,
+            Function<ServerProtocol.Environment, ServerProtocol> serverProtocolFactory)
             throws IOException {
         this(config, clientProtocolFactory, serverProtocolFactory, SystemCalls.PLATFORM);
     }
@@ -203,8 +203,8 @@
     /** Creates a loop with the given system calls, so that tests can make them fail. */
     EventLoop(
             Config config,
-            Function<ClientProtocol.Peer, ClientProtocol> clientProtocolFactory,
-            Function<ServerProtocol.Peer, ServerProtocol> serverProtocolFactory,
+            Function<ClientProtocol.Environment, ClientProtocol> clientProtocolFactory,
+            Function<ServerProtocol.Environment, ServerProtocol> serverProtocolFactory,
             SystemCalls systemCalls)
             throws IOException {
         this.config = config;
@@ -463,9 +463,9 @@
         long commands = 0;
         for (int n = dueClients.size(); n > 0 && commands < COMMAND_LIMIT; n--) {
             ClientLink client = dueClients.poll();
-            commands -= client.protocol.commands() - 1;
+            commands -= client.protocol.commandCount() - 1;
             runGuarded(client, client::readCommands);
-            commands += client.protocol.commands();
+            commands += client.protocol.commandCount();
         }
         if (canAccept) {
             runGuarded(null, this::acceptClients);
@@ -554,13 +554,13 @@
     private void acceptClients() {
         int shedCount = 0;
         for (int n = 0; listener.isOpen() && n < ACCEPT_LIMIT && shedCount < SHED_LIMIT; n++) {
-            Opened<SocketChannel> accepted = listener.accept();
+            CallResult<SocketChannel> accepted = listener.accept();
             boolean isAccepted =
                     switch (accepted.outcome()) {
                         case PROGRESS -> true;
-                        case NOTHING_NOW, END_OF_STREAM, FATAL, BROKEN -> false;
-                        case NO_RESOURCE -> {
-                            handleAcceptFailure(accepted.why());
+                        case WOULD_BLOCK, END_OF_STREAM, PERMANENT_FAILURE, BROKEN -> false;
+                        case TEMPORARY_FAILURE -> {
+                            handleAcceptFailure(accepted.reason());
                             yield false;
                         }
                     };
@@ -581,9 +581,9 @@
     /** Begins to serve an accepted client, or rejects it if there is no room for it. */
     private void addClient(SocketChannel channel, boolean hasRoom) {
         ClientLink client = new ClientLink(nextClientId++);
-        Opened<Connection> adopted = poller.adopt(channel, client);
+        CallResult<Connection> adopted = poller.adopt(channel, client);
         if (adopted.outcome() != Outcome.PROGRESS) {
-            LOG.warn("failed to register an accepted client connection: {}", adopted.why());
+            LOG.warn("failed to register an accepted client connection: {}", adopted.reason());
             count("closed", "not adopted");
             return;
         }
@@ -592,7 +592,7 @@
         clientsByCancelKey.put(client.cancelKey, client);
         shareDescriptors();
         if (!hasRoom) {
-            client.protocol.turnAway();
+            client.protocol.reject();
             if (clients.size() > descriptorBudget.clientLimit() + LINGERING_CLIENT_LIMIT) {
                 client.terminate("no room");
             }
@@ -680,8 +680,8 @@
         ClientLink candidate = null;
         for (ClientLink client : clients.values()) {
             boolean isSilent =
-                    client.protocol.commands() == 0 && now() - client.lastActivityAt > SILENT_CLIENT_GRACE_NANOS;
-            if (!client.protocol.busy() && (candidate == null || isSilent)) {
+                    client.protocol.commandCount() == 0 && now() - client.lastActivityAt > SILENT_CLIENT_GRACE_NANOS;
+            if (!client.protocol.isBusy() && (candidate == null || isSilent)) {
                 candidate = client;
                 if (isSilent) {
                     break;
@@ -702,21 +702,21 @@
         deadlines.schedule(now() + CLIENT_CHECK_INTERVAL_NANOS, this::checkClients);
         int idleLimit = descriptorBudget.idleClientLimit();
         for (ClientLink client : List.copyOf(clients.values())) {
-            if (now() - client.lastActivityAt < CLIENT_IDLE_NANOS || client.protocol.waiting() > 0) {
+            if (now() - client.lastActivityAt < CLIENT_IDLE_NANOS || client.protocol.unansweredCount() > 0) {
                 continue;
             }
-            if (client.protocol.held() > 0 && !client.isClosing) {
+            if (client.protocol.unparsedBytes() > 0 && !client.isClosing) {
                 client.protocol.expire();
             } else if (client.isClosing
                     || client.queuedBytes() > 0
-                    || client.protocol.commands() == 0
+                    || client.protocol.commandCount() == 0
                     || clients.size() > idleLimit) {
                 client.terminate(client.isClosing ? "lingered" : "idle");
             }
         }
     }
 
-    private final class ClientLink extends Link implements ClientProtocol.Peer {
+    private final class ClientLink extends Link implements ClientProtocol.Environment {
         private final long id;
         private final ClientProtocol protocol;
         private boolean isClosing;
@@ -747,26 +747,26 @@
         }
 
         @Override
-        public void cancel(long key) {
+        public void cancelByKey(long key) {
             ClientLink target = clientsByCancelKey.get(key);
             if (target != null) {
                 target.readCommands(); // what it had sent before the cancellation
-                target.protocol.cancel();
+                target.protocol.cancelOldest();
             }
         }
 
         @Override
-        public void takeBack(long slot) {
+        public void cancelRequest(long slot) {
             reducer.onRequestCancelled(now(), id, slot);
         }
 
         @Override
-        public void request(long slot, ClientRequest request) {
+        public void submit(long slot, ClientRequest request) {
             reducer.onRequest(now(), id, slot, request);
         }
 
         @Override
-        public boolean ready() {
+        public boolean isReady() {
             return isReady;
         }
 
@@ -788,10 +788,10 @@
             if (!isHalfClosed && !isClosing) {
                 clients.remove(id); // keeps the longest idle client first
                 clients.put(id, this);
-                lastActivityAt = protocol.held() == 0 ? now() : lastActivityAt;
-                protocol.received(bytes);
+                lastActivityAt = protocol.unparsedBytes() == 0 ? now() : lastActivityAt;
+                protocol.receive(bytes);
                 updateByteCounts();
-                proceedLater();
+                scheduleCommands();
             }
         }
 
@@ -799,9 +799,9 @@
         void readCommands() {
             isDue = false;
             if (isOpen() && !isHalfClosed && !isClosing && readsItsAnswers()) {
-                long commandsBefore = protocol.commands();
-                protocol.proceed();
-                updateState(protocol.commands() > commandsBefore);
+                long commandsBefore = protocol.commandCount();
+                protocol.readCommands();
+                updateState(protocol.commandCount() > commandsBefore);
             }
         }
 
@@ -814,7 +814,7 @@
         }
 
         @Override
-        public void proceedLater() {
+        public void scheduleCommands() {
             if (!isDue) {
                 isDue = true;
                 dueClients.add(this);
@@ -833,7 +833,7 @@
             if (totalUnparsedBytes > UNPARSED_LIMIT_BYTES
                     && unparsedBytes > BUFFER_BYTES
                     && !isClosing
-                    && !protocol.congested()) {
+                    && !protocol.isCongested()) {
                 protocol.expire(); // bounds the memory of many large incomplete messages
                 updateByteCounts();
             }
@@ -841,9 +841,9 @@
         }
 
         private void updateByteCounts() {
-            totalUnparsedBytes += protocol.held() - unparsedBytes;
-            unparsedBytes = protocol.held();
-            long currentUnreadBytes = isOpen() ? queuedBytes() + protocol.unwritten() : 0;
+            totalUnparsedBytes += protocol.unparsedBytes() - unparsedBytes;
+            unparsedBytes = protocol.unparsedBytes();
+            long currentUnreadBytes = isOpen() ? queuedBytes() + protocol.heldBackBytes() : 0;
             unreadAnswers.add(currentUnreadBytes - unreadBytes);
             unreadBytes = currentUnreadBytes;
         }
@@ -858,7 +858,7 @@
         }
 
         private void updateReadInterest() {
-            boolean mayReadCommands = !protocol.congested() && readsItsAnswers();
+            boolean mayReadCommands = !protocol.isCongested() && readsItsAnswers();
             setInterest(SelectionKey.OP_READ, isHalfClosed || isClosing || mayReadCommands || mayReadAhead());
         }
 
@@ -874,13 +874,13 @@
             if (isClosing) {
                 halfClose();
             } else if (unparsedBytes > 0) {
-                proceedLater(); // commands may have waited for the client to read its answers
+                scheduleCommands(); // commands may have waited for the client to read its answers
             }
         }
 
         /** Called by the protocol: closes the connection once all output is written. */
         @Override
-        public void close() {
+        public void closeAfterWrites() {
             isClosing = true;
             if (isOpen() && queuedBytes() == 0) {
                 halfClose();
@@ -905,7 +905,7 @@
 
         /** Half-closes the connection during shutdown if nothing is in progress on it. */
         void closeIfIdle() {
-            if (isHalfClosed || !isOpen() || protocol.busy()) {
+            if (isHalfClosed || !isOpen() || protocol.isBusy()) {
                 return;
             }
             // A request that has arrived since the last check is answered first. A single empty check may be a call
@@ -913,7 +913,7 @@
             emptyReadChecks = read(readBuffer) == ReadResult.NO_DATA ? emptyReadChecks + 1 : 0;
             if (emptyReadChecks < EMPTY_CHECK_COUNT) {
                 scheduleRecheck();
-            } else if (isOpen() && !protocol.busy() && queuedBytes() == 0) {
+            } else if (isOpen() && !protocol.isBusy() && queuedBytes() == 0) {
                 halfClose();
             }
         }
@@ -934,7 +934,7 @@
         void abort() {
             if (isOpen() && !isClosing) {
                 reducer.onClientDisconnected(now(), id);
-                protocol.abandon();
+                protocol.failAll();
             } else {
                 fail();
             }
@@ -966,7 +966,7 @@
 
     // ---- Servers ----
 
-    private final class ServerLink extends Link implements ServerProtocol.Peer {
+    private final class ServerLink extends Link implements ServerProtocol.Environment {
         private final long id;
         private final ServerProtocol protocol;
         private boolean isAwaitingAnswer;
@@ -979,7 +979,7 @@
 
         @Override
         void onConnected() {
-            write(protocol.greeting());
+            write(protocol.startupMessage());
         }
 
         void sendQuery(byte[] query) {
@@ -1005,28 +1005,28 @@
 
         @Override
         void onReceived(ByteBuffer bytes) {
-            protocol.received(bytes);
+            protocol.receive(bytes);
         }
 
         @Override
         void onLost() {
             servers.remove(id);
-            protocol.ended();
+            protocol.onClosed();
         }
 
         @Override
-        public void connectedToServer() {
+        public void onStartupComplete() {
             reducer.onServerConnected(now(), id);
         }
 
         @Override
-        public void answered(ServerAnswer answer, boolean reusable) {
+        public void onAnswer(ServerAnswer answer, boolean reusable) {
             isAwaitingAnswer = false;
             reducer.onServerAnswer(now(), id, answer, reusable);
         }
 
         @Override
-        public void broken(DisconnectCause kind) {
+        public void onBroken(DisconnectCause kind) {
             if (servers.remove(id) != null) {
                 closeSocket();
             }
@@ -1037,7 +1037,7 @@
     @Override
     public void openConnection(long connectionId, InetSocketAddress endpoint) {
         ServerLink link = new ServerLink(connectionId);
-        Opened<Connection> opened = poller.connect(endpoint, link);
+        CallResult<Connection> opened = poller.connect(endpoint, link);
         switch (opened.outcome()) {
             case PROGRESS -> {
                 consecutiveRefusals = 0;
@@ -1048,11 +1048,11 @@
                     deferredTasks.add(() -> link.markConnected());
                 }
             }
-            case NO_RESOURCE -> {
+            case TEMPORARY_FAILURE -> {
                 unopenedServers.put(connectionId, endpoint);
-                handleOpenRefusal(opened.why());
+                handleOpenRefusal(opened.reason());
             }
-            case NOTHING_NOW, END_OF_STREAM, BROKEN, FATAL -> {
+            case WOULD_BLOCK, END_OF_STREAM, BROKEN, PERMANENT_FAILURE -> {
                 count("connection", "failed at once");
                 deferredTasks.add(() -> reducer.onServerConnectionLost(now(), connectionId, DisconnectCause.ENDED));
             }
@@ -1087,7 +1087,7 @@
             return;
         }
         if (reducer.mayWriteQuery(now(), connectionId, false)) {
-            link.sendQuery(link.protocol.query(statement, waitMillis));
+            link.sendQuery(link.protocol.encodeQuery(statement, waitMillis));
         } else {
             deferredTasks.add(() -> reducer.onQueryAbandoned(now(), connectionId));
         }
@@ -1097,7 +1097,7 @@
     public void sendProbe(long connectionId) {
         ServerLink link = servers.get(connectionId);
         if (link != null) {
-            link.sendQuery(link.protocol.probe());
+            link.sendQuery(link.protocol.encodeProbe());
         }
     }
 
@@ -1143,7 +1143,7 @@
     @Override
     public void open() {
         DiscoveryLink link = new DiscoveryLink();
-        Opened<Connection> opened = poller.connect(discoveryAddress, link);
+        CallResult<Connection> opened = poller.connect(discoveryAddress, link);
         switch (opened.outcome()) {
             case PROGRESS -> {
                 link.attach(opened.value());
@@ -1152,11 +1152,12 @@
                     deferredTasks.add(() -> link.markConnected());
                 }
             }
-            case NO_RESOURCE -> {
+            case TEMPORARY_FAILURE -> {
                 discoveryOpenPending = true;
-                handleOpenRefusal(opened.why());
+                handleOpenRefusal(opened.reason());
             }
-            case NOTHING_NOW, END_OF_STREAM, BROKEN, FATAL -> deferredTasks.add(() -> discoveryClient.broken(now()));
+            case WOULD_BLOCK, END_OF_STREAM, BROKEN, PERMANENT_FAILURE ->
+                deferredTasks.add(() -> discoveryClient.broken(now()));
         }
     }
 
@@ -1191,7 +1192,7 @@
         if (!isReady && hasList) {
             isReady = true;
             startAccepting();
-            List.copyOf(clients.values()).forEach(c -> c.protocol.ready());
+            List.copyOf(clients.values()).forEach(c -> c.protocol.onReady());
         }
     }
 
--- a/router/src/main/java/stoatrill/net/Link.java
+++ b/router/src/main/java/stoatrill/net/Link.java
@@ -110,12 +110,12 @@
             boolean mayContinue =
                     switch (result.outcome()) {
                         case PROGRESS -> true;
-                        case NOTHING_NOW -> false;
-                        case NO_RESOURCE -> {
+                        case WOULD_BLOCK -> false;
+                        case TEMPORARY_FAILURE -> {
                             loop.noteResourceShortage();
                             yield false;
                         }
-                        case BROKEN, FATAL, END_OF_STREAM -> {
+                        case BROKEN, PERMANENT_FAILURE, END_OF_STREAM -> {
                             loop.count("closed", "write failed");
                             loop.defer(this::fail); // deferred, so that the caller of write is not called back
                             yield false;
@@ -178,8 +178,8 @@
             IoResult result = connection.finishConnect();
             switch (result.outcome()) {
                 case PROGRESS -> markConnected();
-                case NOTHING_NOW, NO_RESOURCE -> {}
-                case BROKEN, FATAL, END_OF_STREAM -> fail();
+                case WOULD_BLOCK, TEMPORARY_FAILURE -> {}
+                case BROKEN, PERMANENT_FAILURE, END_OF_STREAM -> fail();
             }
         }
         if (connection.isWritable()) {
@@ -205,8 +205,8 @@
                 onReceived(buffer);
                 yield ReadResult.DATA;
             }
-            case NOTHING_NOW -> ReadResult.NO_DATA;
-            case NO_RESOURCE -> {
+            case WOULD_BLOCK -> ReadResult.NO_DATA;
+            case TEMPORARY_FAILURE -> {
                 loop.noteResourceShortage();
                 yield ReadResult.UNKNOWN;
             }
@@ -216,7 +216,7 @@
                 fail();
                 yield ReadResult.ENDED;
             }
-            case BROKEN, FATAL -> {
+            case BROKEN, PERMANENT_FAILURE -> {
                 loop.count("closed", "read failed");
                 fail();
                 yield ReadResult.ENDED;
--- a/router/src/main/java/stoatrill/net/ServerProtocol.java
+++ b/router/src/main/java/stoatrill/net/ServerProtocol.java
@@ -12,29 +12,29 @@
 public interface ServerProtocol {
 
     /** Receives the events that the protocol has decoded from the server's bytes. */
-    interface Peer {
+    interface Environment {
         /** The startup is complete; the connection takes queries from now on. */
-        void connectedToServer();
+        void onStartupComplete();
 
         /** The server has answered; {@code reusable} if the connection takes another query. */
-        void answered(ServerAnswer answer, boolean reusable);
+        void onAnswer(ServerAnswer answer, boolean reusable);
 
         /** The connection can no longer be used. */
-        void broken(DisconnectCause how);
+        void onBroken(DisconnectCause how);
     }
 
     /** The bytes that open the conversation. */
-    byte[] greeting();
+    byte[] startupMessage();
 
     /** Encodes a query. */
-    byte[] query(Statement statement, long waitMillis);
+    byte[] encodeQuery(Statement statement, long waitMillis);
 
     /** Encodes a request for the server's load report. */
-    byte[] probe();
+    byte[] encodeProbe();
 
     /** Takes received bytes; consumes all of them. */
-    void received(ByteBuffer bytes);
+    void receive(ByteBuffer bytes);
 
     /** Called once the server has closed or broken the connection. */
-    void ended();
+    void onClosed();
 }
--- a/router/src/main/java/stoatrill/pg/PgClient.java
+++ b/router/src/main/java/stoatrill/pg/PgClient.java
@@ -19,7 +19,7 @@
     private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
 
     private final MessageReader input = new MessageReader(false, MAX_STARTUP_BYTES);
-    private final Peer peer;
+    private final Environment peer;
     private boolean startupComplete;
     private long nextSlot;
     private long commands;
@@ -42,12 +42,12 @@
     }
 
     /** Creates the protocol of one connection, which acts on its surroundings through {@code peer}. */
-    public PgClient(Peer peer) {
+    public PgClient(Environment peer) {
         this.peer = peer;
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void receive(ByteBuffer bytes) {
         if (closed) {
             bytes.position(bytes.limit());
             return;
@@ -56,12 +56,12 @@
     }
 
     @Override
-    public void proceed() {
+    public void readCommands() {
         proceedScheduled = false;
-        readCommands();
+        handleCommands();
     }
 
-    private void readCommands() {
+    private void handleCommands() {
         long commandLimit = commands + COMMANDS_PER_TURN_LIMIT;
         try {
             while (!closed && !startupComplete && input.readNext()) {
@@ -72,7 +72,7 @@
                 handleCommand();
                 if (commands == commandLimit && input.hasUnreadBytes()) {
                     proceedScheduled = true;
-                    peer.proceedLater();
+                    peer.scheduleCommands();
                     return;
                 }
             }
@@ -87,7 +87,7 @@
             peer.write(new byte[] {'N'});
         } else if (code == Messages.CANCEL_REQUEST_CODE) {
             if (input.bodySize() == 12) {
-                peer.cancel(((long) input.int32(4) << 32) | (input.int32(8) & 0xffffffffL));
+                peer.cancelByKey(((long) input.int32(4) << 32) | (input.int32(8) & 0xffffffffL));
             }
             close(); // the protocol defines no reply to a cancel request
         } else if (code >>> 16 != 3) {
@@ -157,7 +157,7 @@
         if (isBlank(statement)) {
             PendingReply emptyReply = new PendingReply(-1, true);
             pendingReplies.add(emptyReply);
-            if (peer.ready()) {
+            if (peer.isReady()) {
                 complete(emptyReply, Messages.join(Messages.emptyQueryResponse(), Messages.readyForQuery()));
             }
             flushReplies();
@@ -166,7 +166,7 @@
         PendingReply reply = new PendingReply(nextSlot++, false);
         pendingReplies.add(reply);
         try {
-            peer.request(reply.slot, PgStatement.parse(statement).withTeam(team));
+            peer.submit(reply.slot, PgStatement.parse(statement).withTeam(team));
         } catch (PgException e) {
             complete(
                     reply,
@@ -205,11 +205,11 @@
     }
 
     private void flushAndContinue() {
-        boolean wasCongested = congested();
+        boolean wasCongested = isCongested();
         flushReplies();
         if (wasCongested && !proceedScheduled) {
             proceedScheduled = true; // not read here: the answer may come while its request is being handed over
-            peer.proceedLater();
+            peer.scheduleCommands();
         }
     }
 
@@ -234,17 +234,17 @@
     }
 
     @Override
-    public void cancel() {
+    public void cancelOldest() {
         for (PendingReply reply : pendingReplies) {
             if (reply.bytes == null && reply.slot >= 0) {
-                peer.takeBack(reply.slot);
+                peer.cancelRequest(reply.slot);
                 return;
             }
         }
     }
 
     @Override
-    public void ready() {
+    public void onReady() {
         for (PendingReply reply : pendingReplies) {
             if (reply.awaitsReady && reply.bytes == null) {
                 complete(reply, Messages.join(Messages.emptyQueryResponse(), Messages.readyForQuery()));
@@ -265,22 +265,22 @@
             peer.write(bytes);
         }
         if (closed && pendingReplies.isEmpty()) {
-            peer.close();
+            peer.closeAfterWrites();
         }
     }
 
     @Override
-    public long commands() {
+    public long commandCount() {
         return commands;
     }
 
     @Override
-    public int waiting() {
+    public int unansweredCount() {
         return pendingReplies.size();
     }
 
     @Override
-    public int held() {
+    public int unparsedBytes() {
         return input.unreadSize();
     }
 
@@ -290,22 +290,22 @@
     }
 
     @Override
-    public long unwritten() {
+    public long heldBackBytes() {
         return unwrittenBytes;
     }
 
     @Override
-    public boolean congested() {
+    public boolean isCongested() {
         return proceedScheduled || pendingReplies.size() >= PENDING_REPLY_LIMIT;
     }
 
     @Override
-    public void turnAway() {
+    public void reject() {
         failConnection("53300", "too many connections");
     }
 
     @Override
-    public void abandon() {
+    public void failAll() {
         byte[] failure = encode(new Answer.Failed("the router failed to handle the connection"));
         for (PendingReply reply : pendingReplies) {
             if (reply.bytes == null) {
--- a/router/src/main/java/stoatrill/pg/PgServer.java
+++ b/router/src/main/java/stoatrill/pg/PgServer.java
@@ -34,7 +34,7 @@
     }
 
     private final MessageReader input = new MessageReader(true, MAX_ROW_BYTES);
-    private final Peer peer;
+    private final Environment peer;
     private Phase phase = Phase.STARTUP;
     private boolean isProbe;
     private int answerSize;
@@ -45,23 +45,23 @@
     private Map<String, Double> report;
 
     /** Creates the protocol of one connection, which reports its events to {@code peer}. */
-    public PgServer(Peer peer) {
+    public PgServer(Environment peer) {
         this.peer = peer;
     }
 
     @Override
-    public byte[] greeting() {
+    public byte[] startupMessage() {
         return Messages.startup("svc", "main");
     }
 
     @Override
-    public byte[] query(Statement statement, long waitMillis) {
+    public byte[] encodeQuery(Statement statement, long waitMillis) {
         beginQuery(false);
         return Messages.query(statement.encodeWithWait(waitMillis));
     }
 
     @Override
-    public byte[] probe() {
+    public byte[] encodeProbe() {
         beginQuery(true);
         return Messages.query("SHOW usage".getBytes(StandardCharsets.US_ASCII));
     }
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void receive(ByteBuffer bytes) {
         if (phase == Phase.IDLE) {
             bytes.position(bytes.limit());
             reportBroken(DisconnectCause.ENDED); // no query is outstanding: the bytes would be read as the next answer
@@ -225,7 +225,7 @@
         if (phase == Phase.STARTUP) {
             require(errorSqlState == null && !input.hasUnreadBytes());
             phase = Phase.IDLE;
-            peer.connectedToServer();
+            peer.onStartupComplete();
             return;
         }
         // Bytes after a complete answer: the answer counts, but the connection is not used for another query.
@@ -237,7 +237,7 @@
     private void deliverAnswer(boolean reusable) {
         ServerAnswer answer = new ServerAnswer(result(), role, positionMillis, report, answerMessages.toByteArray());
         resetAnswer();
-        peer.answered(answer, reusable);
+        peer.onAnswer(answer, reusable);
     }
 
     private Result result() {
@@ -263,7 +263,7 @@
 
     /** The connection has ended; an answer that was already complete still counts. */
     @Override
-    public void ended() {
+    public void onClosed() {
         if (phase == Phase.COMPLETE && !input.hasUnreadBytes()) {
             phase = Phase.CLOSED;
             deliverAnswer(false);
@@ -277,6 +277,6 @@
 
     private void reportBroken(DisconnectCause cause) {
         phase = Phase.CLOSED;
-        peer.broken(cause);
+        peer.onBroken(cause);
     }
 }
--- a/router/src/test/java/stoatrill/HalfWrittenTest.java
+++ b/router/src/test/java/stoatrill/HalfWrittenTest.java
@@ -41,13 +41,13 @@
     /** The server protocol, with padding before each query. */
     private record PaddedProtocol(ServerProtocol inner) implements ServerProtocol {
         @Override
-        public byte[] greeting() {
-            return inner.greeting();
+        public byte[] startupMessage() {
+            return inner.startupMessage();
         }
 
         @Override
-        public byte[] query(Statement statement, long waitMillis) {
-            byte[] query = inner.query(statement, waitMillis);
+        public byte[] encodeQuery(Statement statement, long waitMillis) {
+            byte[] query = inner.encodeQuery(statement, waitMillis);
             return ByteBuffer.allocate(PADDING_BYTES + query.length)
                     .put(new byte[PADDING_BYTES])
                     .put(query)
@@ -55,18 +55,18 @@
         }
 
         @Override
-        public byte[] probe() {
-            return inner.probe();
+        public byte[] encodeProbe() {
+            return inner.encodeProbe();
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
-            inner.received(bytes);
+        public void receive(ByteBuffer bytes) {
+            inner.receive(bytes);
         }
 
         @Override
-        public void ended() {
-            inner.ended();
+        public void onClosed() {
+            inner.onClosed();
         }
     }
 
--- a/router/src/test/java/stoatrill/http/ResponseParserTest.java
+++ b/router/src/test/java/stoatrill/http/ResponseParserTest.java
@@ -51,7 +51,7 @@
     @Test
     void bodyWithoutLengthEndsWhenConnectionCloses() throws BadResponseException {
         assertNull(parser.parse(ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\nabc".getBytes(StandardCharsets.US_ASCII))));
-        assertEquals("200 abc once", describe(parser.end()));
+        assertEquals("200 abc once", describe(parser.finishOnClose()));
     }
 
     @ParameterizedTest
--- a/router/src/test/java/stoatrill/io/ConnectionTest.java
+++ b/router/src/test/java/stoatrill/io/ConnectionTest.java
@@ -93,9 +93,9 @@
         for (int n = 0; n < 100; n++) {
             scriptedResults.add(INTERRUPTED_CODE);
         }
-        assertEquals(Outcome.NO_RESOURCE, read(), "interrupted every time: retry later");
+        assertEquals(Outcome.TEMPORARY_FAILURE, read(), "interrupted every time: retry later");
         scriptedResults.clear();
-        assertEquals(Outcome.NOTHING_NOW, read());
+        assertEquals(Outcome.WOULD_BLOCK, read());
     }
 
     @Test
@@ -106,14 +106,14 @@
             scriptedResults.add(INTERRUPTED_CODE);
         }
         IoResult result = connection.write(ByteBuffer.wrap(new byte[5]));
-        assertEquals(new IoResult(Outcome.NO_RESOURCE, 0, "interrupted"), result);
+        assertEquals(new IoResult(Outcome.TEMPORARY_FAILURE, 0, "interrupted"), result);
     }
 
     @Test
     void singleFailureDoesNotBreakConnection() throws IOException {
         for (String message : List.of("Cannot allocate memory", "No buffer space available", "Input/output error")) {
             scriptedResults.add(new IOException(message));
-            assertEquals(Outcome.NOTHING_NOW, read(), message);
+            assertEquals(Outcome.WOULD_BLOCK, read(), message);
         }
         scriptedResults.add(new IOException("Broken pipe"));
         assertEquals(5, connection.write(ByteBuffer.wrap(new byte[5])).bytes());
@@ -132,7 +132,7 @@
     void resetIsNotEndOfStream() throws IOException {
         peer.setOption(StandardSocketOptions.SO_LINGER, 0);
         peer.close();
-        while (read() == Outcome.NOTHING_NOW) {
+        while (read() == Outcome.WOULD_BLOCK) {
             poller.select(1);
         }
         assertEquals(Outcome.BROKEN, read());
@@ -150,7 +150,7 @@
     @Test
     void readAfterCloseIsFatal() {
         connection.close();
-        assertEquals(Outcome.FATAL, read());
+        assertEquals(Outcome.PERMANENT_FAILURE, read());
         assertFalse(connection.isQuiet());
     }
 
--- a/router/src/test/java/stoatrill/net/ClosingMomentsTest.java
+++ b/router/src/test/java/stoatrill/net/ConnectionCloseRaceTest.java
@@ -40,7 +40,7 @@
  * the event loop for as long as it needs: the protocol of one client waits, in the loop's thread, until it is released.
  */
 @Timeout(60)
-class ClosingMomentsTest {
+class ConnectionCloseRaceTest {
     private static final int TIMEOUT_MILLIS = 20_000;
     private static final String HOLD = "SELECT 'hold'";
     private static final String READ = "SELECT v FROM records WHERE k = 'a1' /* id=%s,c=archive,d=4000,cluster=0 */";
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
+        public void receive(ByteBuffer bytes) {
             if (StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString().contains(HOLD)) {
                 loopHeld.countDown();
                 try {
@@ -115,17 +115,17 @@
                     Thread.currentThread().interrupt();
                 }
             }
-            delegate.received(bytes);
+            delegate.receive(bytes);
         }
 
         @Override
-        public void proceed() {
-            delegate.proceed();
+        public void readCommands() {
+            delegate.readCommands();
         }
 
         @Override
-        public void cancel() {
-            delegate.cancel();
+        public void cancelOldest() {
+            delegate.cancelOldest();
         }
 
         @Override
@@ -134,18 +134,18 @@
         }
 
         @Override
-        public void ready() {
-            delegate.ready();
+        public void onReady() {
+            delegate.onReady();
         }
 
         @Override
-        public long commands() {
-            return delegate.commands();
+        public long commandCount() {
+            return delegate.commandCount();
         }
 
         @Override
-        public int waiting() {
-            return delegate.waiting();
+        public int unansweredCount() {
+            return delegate.unansweredCount();
         }
 
         @Override
@@ -154,28 +154,28 @@
         }
 
         @Override
-        public long unwritten() {
-            return delegate.unwritten();
+        public long heldBackBytes() {
+            return delegate.heldBackBytes();
         }
 
         @Override
-        public int held() {
-            return delegate.held();
+        public int unparsedBytes() {
+            return delegate.unparsedBytes();
         }
 
         @Override
-        public boolean congested() {
-            return delegate.congested();
+        public boolean isCongested() {
+            return delegate.isCongested();
         }
 
         @Override
-        public void turnAway() {
-            delegate.turnAway();
+        public void reject() {
+            delegate.reject();
         }
 
         @Override
-        public void abandon() {
-            delegate.abandon();
+        public void failAll() {
+            delegate.failAll();
         }
 
         @Override
--- a/router/src/test/java/stoatrill/pg/PgClientPiecesTest.java
+++ b/router/src/test/java/stoatrill/pg/PgClientPiecesTest.java
@@ -20,7 +20,7 @@
             "INSERT INTO records (k, v) VALUES ('a1', '\\x01') RETURNING v /* id=w%d,c=order,d=480,cluster=2 */";
 
     /** Records the requests that were read and the bytes that were written to the client. */
-    private static final class Conversation implements ClientProtocol.Peer {
+    private static final class Conversation implements ClientProtocol.Environment {
         private final List<String> requests = new ArrayList<>();
         private final StringBuilder written = new StringBuilder();
         private final PgClient client = new PgClient(this);
@@ -28,10 +28,10 @@
         private boolean proceedRequested;
 
         void receive(byte[] bytes, int start, int end) {
-            client.received(ByteBuffer.wrap(bytes, start, end - start));
+            client.receive(ByteBuffer.wrap(bytes, start, end - start));
             do {
                 proceedRequested = false;
-                client.proceed();
+                client.readCommands();
             } while (proceedRequested);
         }
 
@@ -40,19 +40,19 @@
         }
 
         @Override
-        public void request(long slot, ClientRequest request) {
+        public void submit(long slot, ClientRequest request) {
             requests.add(
                     request.id() + " " + request.requestClass() + " " + request.waitMillis() + " " + request.group());
             client.answer(slot, new Answer.Refused(slot));
         }
 
         @Override
-        public boolean ready() {
+        public boolean isReady() {
             return true;
         }
 
         @Override
-        public void proceedLater() {
+        public void scheduleCommands() {
             proceedRequested = true;
         }
 
@@ -62,12 +62,12 @@
         }
 
         @Override
-        public void cancel(long key) {
+        public void cancelByKey(long key) {
             requests.add("cancel " + key);
         }
 
         @Override
-        public void takeBack(long slot) {}
+        public void cancelRequest(long slot) {}
 
         @Override
         public void write(byte[] bytes) {
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public void close() {
+        public void closeAfterWrites() {
             closed = true;
         }
     }
--- a/router/src/test/java/stoatrill/pg/PgServerScenarioTest.java
+++ b/router/src/test/java/stoatrill/pg/PgServerScenarioTest.java
@@ -18,7 +18,7 @@
  * Tests the server protocol. {@code s send TYPE BODY} delivers a message byte by byte, {@code s send raw} delivers
  * bytes at once, and {@code s send query} makes the router send a query.
  */
-class PgServerScenarioTest implements Scenario.Stage, ServerProtocol.Peer {
+class PgServerScenarioTest implements Scenario.Stage, ServerProtocol.Environment {
     private static final String COLUMNS = "s send T ~^v~" + "~".repeat(18) + "\n";
     private static final String QUERY = "s send query\n";
     private static final String STARTUP = "s send R ~~~~\ns send Z I\ns expect up\n";
@@ -165,17 +165,17 @@
     @Override
     public void send(String actor, String text) {
         if (text.equals("query")) {
-            server.query(wait -> new byte[0], 1);
+            server.encodeQuery(wait -> new byte[0], 1);
             return;
         }
         if (text.startsWith("raw ")) {
-            server.received(
+            server.receive(
                     ByteBuffer.wrap(HexFormat.of().parseHex(text.substring(4).replace(" ", ""))));
             return;
         }
         byte[] body = text.substring(2).replace('~', '\0').replace('^', '\1').getBytes(StandardCharsets.ISO_8859_1);
         for (byte b : Messages.message(text.charAt(0), body)) {
-            server.received(ByteBuffer.wrap(new byte[] {b}));
+            server.receive(ByteBuffer.wrap(new byte[] {b}));
         }
     }
 
@@ -186,26 +186,26 @@
 
     @Override
     public void close(String actor) {
-        server.ended();
+        server.onClosed();
     }
 
     @Override
     public void pass(long millis) {}
 
     @Override
-    public void connectedToServer() {
+    public void onStartupComplete() {
         events.add("up");
     }
 
     @Override
-    public void answered(ServerAnswer answer, boolean reusable) {
+    public void onAnswer(ServerAnswer answer, boolean reusable) {
         value = answer.value();
         events.add(answer.result() + " " + answer.role() + " " + answer.positionMillis() + " "
                 + (answer.report() == null ? null : answer.report().get("q")) + " " + reusable);
     }
 
     @Override
-    public void broken(DisconnectCause cause) {
+    public void onBroken(DisconnectCause cause) {
         events.add("broken " + cause);
     }
 }
