--- a/lab/src/main/java/stoatrill/lab/scale/faketime/ModelRouter.java
+++ b/lab/src/main/java/stoatrill/lab/scale/faketime/ModelRouter.java
@@ -20,7 +20,7 @@
  * The control path of one router: the real discovery client, reducer and module, before a modelled discovery. It has
  * no clients, so its module never holds a statement, and opens no connection to a database.
  */
-final class ModelRouter implements Effects, DiscoveryClient.Peer {
+final class ModelRouter implements Effects, DiscoveryClient.Environment {
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
     private static final long TRIP = MILLI;
@@ -135,7 +135,7 @@
     // ---- The connection to discovery ----
 
     @Override
-    public void open() {
+    public void openDiscovery() {
         int mine = ++connection;
         if (!cut) {
             time.at(time.now() + 2 * TRIP, () -> {
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void send(byte[] request) {
+    public void sendToDiscovery(byte[] request) {
         if (cut) {
             return;
         }
@@ -190,7 +190,7 @@
     }
 
     @Override
-    public void close() {
+    public void closeDiscovery() {
         open = false;
         connection++;
     }
@@ -198,7 +198,7 @@
     // ---- The list ----
 
     @Override
-    public void members(long now, ListKind kind, List<ServerEntry> entries) {
+    public void onServerList(long now, ListKind kind, List<ServerEntry> entries) {
         known = entries.stream().mapToLong(ServerEntry::startedAtMillis).reduce(known, Math::max);
         List<ServerEntry> handed = entries.subList(0, Math.min(HANDED_ON, entries.size()));
         // A part of the whole list is no whole list: as changes, it takes nothing from what is held.
--- a/lab/src/main/java/stoatrill/lab/scale/hollow/HollowRouter.java
+++ b/lab/src/main/java/stoatrill/lab/scale/hollow/HollowRouter.java
@@ -23,7 +23,7 @@
  * One router without client sockets: the carrier of the real {@link Reducer} and {@link DiscoveryClient}, as {@code
  * net.EventLoop} is, with {@link ModelServers} for the servers and statements at a rate of its own. Used by one thread.
  */
-final class HollowRouter implements Effects, DiscoveryClient.Peer, DiscoverySocket.Owner {
+final class HollowRouter implements Effects, DiscoveryClient.Environment, DiscoverySocket.Owner {
     private static final long MILLI = 1_000_000L;
     private static final long COMPARE_CLOCKS = 1_000 * MILLI;
 
@@ -96,7 +96,7 @@
     /** Ends it at once, as a killed process does. */
     void end() {
         ended = true;
-        close();
+        closeDiscovery();
     }
 
     boolean ended() {
@@ -125,7 +125,7 @@
     /** Follows another discovery from now on, as a router does when SIGHUP has it read such a configuration. */
     void move(InetSocketAddress to) {
         discoveryAt = to;
-        discovery.move(now(), name(number));
+        discovery.changeHost(now(), name(number));
         reducer.onDiscoveryMoved(now());
     }
 
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public void open() {
+    public void openDiscovery() {
         tally.connects++;
         try {
             socket = new DiscoverySocket(this, selector, discoveryAt);
@@ -208,14 +208,14 @@
     }
 
     @Override
-    public void send(byte[] request) {
+    public void sendToDiscovery(byte[] request) {
         tally.calls++;
         tally.bytesOut += request.length;
         socket.write(request);
     }
 
     @Override
-    public void close() {
+    public void closeDiscovery() {
         if (socket != null) {
             socket.close();
             socket = null;
@@ -223,7 +223,7 @@
     }
 
     @Override
-    public void members(long now, ListKind kind, List<ServerEntry> entries) {
+    public void onServerList(long now, ListKind kind, List<ServerEntry> entries) {
         reducer.onServerList(now, kind, entries);
         awaited.heard(System.nanoTime(), kind, entries);
         switch (kind) {
--- a/lab/src/test/java/stoatrill/lab/scale/faketime/ScaleModelTest.java
+++ b/lab/src/test/java/stoatrill/lab/scale/faketime/ScaleModelTest.java
@@ -178,17 +178,17 @@
     }
 
     @Test
-    void theModelledListIsOneThatRoutersRead() throws ServerList.BadListException {
+    void theModelledListIsOneThatRoutersRead() throws ServerList.InvalidListException {
         ModelList list = new ModelList(DesignSize.DATABASES);
         list.change(3);
         list.change(5);
         list.change(3);
         ServerList whole = ServerList.parse(new String(list.whole(), StandardCharsets.US_ASCII));
         assertEquals(DesignSize.DATABASES, whole.entries().size());
-        assertTrue(whole.all());
+        assertTrue(whole.isFull());
         ServerList changes =
                 ServerList.parse(new String(list.changesAfter(ModelList.FIRST_VERSION + 1), StandardCharsets.US_ASCII));
-        assertFalse(changes.all());
+        assertFalse(changes.isFull());
         assertEquals(2, changes.entries().size());
         assertEquals(list.version(), changes.version());
     }
--- a/router/src/main/java/stoatrill/Main.java
+++ b/router/src/main/java/stoatrill/Main.java
@@ -19,8 +19,8 @@
 import stoatrill.startup.ClassPreloader;
 import stoatrill.startup.Retry;
 import stoatrill.startup.Signals;
-import stoatrill.wire.Loop;
 import stoatrill.wire.MalformedInputException;
+import stoatrill.wire.SimhostLoop;
 
 /**
  * Entry point. {@code serve} runs one router on sockets. {@code simhost} runs the same decisions on the simulator's
@@ -159,7 +159,7 @@
     public static void simhost() {
         try (BufferedInputStream in = new BufferedInputStream(System.in, 1 << 16);
                 FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
-            new Loop(in, out).run();
+            new SimhostLoop(in, out).run();
         } catch (MalformedInputException e) {
             exit(1, "malformed input: " + e.getMessage());
         } catch (IOException e) {
--- a/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
+++ b/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
@@ -89,18 +89,18 @@
     }
 
     /** The environment of a client: its connection, and the receiver of its lists. */
-    public interface Peer {
+    public interface Environment {
         /** Opens a connection to discovery; {@link #connected} or {@link #broken} follows. */
-        void open();
+        void openDiscovery();
 
         /** Sends a request over the open connection. */
-        void send(byte[] request);
+        void sendToDiscovery(byte[] request);
 
         /** Closes the connection; no callback follows. */
-        void close();
+        void closeDiscovery();
 
         /** Delivers a list or changes of it, or, without entries, reports a failed call or a silent watch. */
-        void members(long now, ListKind kind, List<ServerEntry> entries);
+        void onServerList(long now, ListKind kind, List<ServerEntry> entries);
 
         /** Logs a line for the operators. */
         void log(String line);
@@ -114,7 +114,7 @@
         FETCH
     }
 
-    private final Peer peer;
+    private final Environment peer;
     private final DeadlineQueue deadlines;
     private final Timing timing;
     private final SplittableRandom random;
@@ -141,7 +141,7 @@
      *
      * @param version the version of the list already held; negative if there is none
      */
-    public DiscoveryClient(Peer peer, DeadlineQueue deadlines, String host, long version, Timing timing) {
+    public DiscoveryClient(Environment peer, DeadlineQueue deadlines, String host, long version, Timing timing) {
         this.peer = peer;
         this.deadlines = deadlines;
         this.host = host;
@@ -164,7 +164,7 @@
     }
 
     /** Changes discovery's address; a call under way is replaced by one to the new address, for the full list. */
-    public void move(long now, String newHost) {
+    public void changeHost(long now, String newHost) {
         host = newHost;
         version = -1; // versions of another discovery are not comparable
         fullListRequested |= currentCall != CallKind.NONE;
@@ -191,7 +191,7 @@
         } else {
             isConnecting = true;
             setTimeout(now + Math.min(timing.answerTimeout(), Timing.CONNECT_TIMEOUT_NANOS), this::failCall);
-            peer.open();
+            peer.openDiscovery();
         }
     }
 
@@ -205,8 +205,9 @@
             setTimeout(now + timing.answerTimeout(), this::handleLostCall);
         }
         String query = currentCall == CallKind.FETCH ? "" : "?from=" + version + "&hold_ms=" + holdMillis;
-        peer.send(("GET /v1/servers" + query + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+        peer.sendToDiscovery(
+                ("GET /v1/servers" + query + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 
     private void setTimeout(long timeoutAt, LongConsumer onTimeout) {
@@ -291,8 +292,8 @@
             version = list.version();
             // The next call is sent first: a watch ends if it is not renewed within 200 ms.
             startNextCall(now);
-            peer.members(now, list.all() ? ListKind.FULL : ListKind.DELTA, list.entries());
-        } catch (ServerList.BadListException e) {
+            peer.onServerList(now, list.isFull() ? ListKind.FULL : ListKind.DELTA, list.entries());
+        } catch (ServerList.InvalidListException e) {
             logUnusableResponse(e.getMessage());
             failCall(now);
         }
@@ -317,7 +318,7 @@
 
     private void disconnect() {
         if (isConnected || isConnecting) {
-            peer.close();
+            peer.closeDiscovery();
         }
         isConnected = false;
         isConnecting = false;
@@ -330,7 +331,7 @@
         finishCall();
         checkNeeded = true;
         startNextCall(now);
-        peer.members(now, ListKind.SILENT, List.of());
+        peer.onServerList(now, ListKind.SILENT, List.of());
     }
 
     /**
@@ -346,7 +347,7 @@
         isSecondTry = true;
         disconnect();
         startCall(now);
-        peer.members(now, ListKind.SILENT, List.of());
+        peer.onServerList(now, ListKind.SILENT, List.of());
     }
 
     private void failCall(long now) {
@@ -357,7 +358,7 @@
         fullListRequested = false;
         checkNeeded = true; // changes made meanwhile are asked for by a call that is answered at once
         if (callWasOpen) {
-            peer.members(now, ListKind.FAILED, List.of());
+            peer.onServerList(now, ListKind.FAILED, List.of());
         }
     }
 }
--- a/router/src/main/java/stoatrill/discovery/ServerList.java
+++ b/router/src/main/java/stoatrill/discovery/ServerList.java
@@ -12,16 +12,16 @@
 import stoatrill.core.ServerEntry;
 
 /** A list of servers with its version; the entries are either all servers or the changes since an earlier version. */
-public record ServerList(long version, boolean all, List<ServerEntry> entries) {
+public record ServerList(long version, boolean isFull, List<ServerEntry> entries) {
 
     /** Limits the reason that is reported, which quotes the received text. */
     private static final int MAX_REASON_CHARS = 160;
 
     /** Thrown for a response body that is not a list of servers. */
-    public static final class BadListException extends Exception {
+    public static final class InvalidListException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadListException(String message) {
+        InvalidListException(String message) {
             super(message);
         }
     }
@@ -29,9 +29,9 @@
     /**
      * Parses a list in discovery's JSON format.
      *
-     * @throws BadListException if any part of it, such as a single entry, can't be used
+     * @throws InvalidListException if any part of it, such as a single entry, can't be used
      */
-    public static ServerList parse(String json) throws BadListException {
+    public static ServerList parse(String json) throws InvalidListException {
         try {
             JsonObject list = JsonParser.parseString(json).getAsJsonObject();
             List<ServerEntry> entries = new ArrayList<>();
@@ -49,7 +49,7 @@
                 | NumberFormatException
                 | NullPointerException e) {
             String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new BadListException(
+            throw new InvalidListException(
                     "not a list of servers: " + reason.substring(0, Math.min(MAX_REASON_CHARS, reason.length())));
         }
     }
--- a/router/src/main/java/stoatrill/net/EventLoop.java
+++ b/router/src/main/java/stoatrill/net/EventLoop.java
@@ -46,7 +46,7 @@
  * and carries out the {@link Effects} that the reducer asks for. Everything runs in the thread that calls {@link #run};
  * only {@link #stop} and {@link #reload} may be called from any thread.
  */
-public final class EventLoop implements Effects, DiscoveryClient.Peer {
+public final class EventLoop implements Effects, DiscoveryClient.Environment {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int BUFFER_BYTES = 64 * 1024;
@@ -280,7 +280,7 @@
         if (json != null) {
             try {
                 return ServerList.parse(json);
-            } catch (ServerList.BadListException e) {
+            } catch (ServerList.InvalidListException e) {
                 LOG.warn("ignoring the server list given at start: {}", e.getMessage());
             }
         }
@@ -427,7 +427,7 @@
         }
         if (hasMoved) {
             discoveryAddress = newAddress;
-            discoveryClient.move(now(), hostAndPort(newAddress));
+            discoveryClient.changeHost(now(), hostAndPort(newAddress));
             reducer.onDiscoveryMoved(now());
         }
     }
@@ -652,7 +652,7 @@
         unopenedServers.clear();
         if (discoveryOpenPending) {
             discoveryOpenPending = false;
-            open();
+            openDiscovery();
         }
         pendingServers.forEach(this::openConnection);
     }
@@ -1141,7 +1141,7 @@
     }
 
     @Override
-    public void open() {
+    public void openDiscovery() {
         DiscoveryLink link = new DiscoveryLink();
         CallResult<Connection> opened = poller.connect(discoveryAddress, link);
         switch (opened.outcome()) {
@@ -1162,7 +1162,7 @@
     }
 
     @Override
-    public void send(byte[] request) {
+    public void sendToDiscovery(byte[] request) {
         count("list", "call");
         DiscoveryLink link = discoveryLink;
         if (link != null) {
@@ -1171,7 +1171,7 @@
     }
 
     @Override
-    public void close() {
+    public void closeDiscovery() {
         discoveryOpenPending = false;
         DiscoveryLink link = discoveryLink;
         discoveryLink = null;
@@ -1181,7 +1181,7 @@
     }
 
     @Override
-    public void members(long now, Gateway.ListKind kind, List<ServerEntry> entries) {
+    public void onServerList(long now, Gateway.ListKind kind, List<ServerEntry> entries) {
         count("list", kind.name());
         reducer.onServerList(now, kind, entries);
         updateReadiness(kind != Gateway.ListKind.FAILED && kind != Gateway.ListKind.SILENT);
--- a/router/src/main/java/stoatrill/startup/ClassPreloader.java
+++ b/router/src/main/java/stoatrill/startup/ClassPreloader.java
@@ -100,7 +100,7 @@
     private static void parseSample(String list) {
         try {
             ServerList unused = ServerList.parse(list);
-        } catch (ServerList.BadListException e) {
+        } catch (ServerList.InvalidListException e) {
             // expected for the malformed lists: this has loaded the classes that report the error
         }
     }
--- a/router/src/main/java/stoatrill/wire/Loop.java
+++ b/router/src/main/java/stoatrill/wire/SimhostLoop.java
@@ -12,7 +12,7 @@
 import stoatrill.Gateway;
 
 /** Hosts many instances of the module: reads batches, passes their events to the instances, and writes the replies. */
-public final class Loop {
+public final class SimhostLoop {
     private static final int MEMBER_BYTES = 28;
     private static final int LIST_SLOT_COUNT = 16;
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -24,7 +24,7 @@
     private final List<List<Gateway.ListEntry>> memberLists = new ArrayList<>();
 
     /** Creates a loop over these streams, which it does not close. */
-    public Loop(InputStream input, OutputStream output) {
+    public SimhostLoop(InputStream input, OutputStream output) {
         this.input = new BatchReader(input);
         this.output = output;
         for (int i = 0; i < LIST_SLOT_COUNT; i++) {
--- a/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
+++ b/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
@@ -26,7 +26,7 @@
  * when each change counts as notified. Reads and uploads arrive all the time. Some connections are established late and
  * some requests hang, so that sends wait, are retried and get second copies.
  */
-abstract class DrainNotificationHarness extends NoOpEffects implements DiscoveryClient.Peer {
+abstract class DrainNotificationHarness extends NoOpEffects implements DiscoveryClient.Environment {
     static final long NANOS_PER_MILLI = 1_000_000L;
     static final long START_TIME = 1_700_000_000_000L * NANOS_PER_MILLI;
     /** The tolerance that the protocol adds to every time limit. */
@@ -259,7 +259,7 @@
     // Peer of the discovery client
 
     @Override
-    public void open() {
+    public void openDiscovery() {
         long ownConnection = ++currentConnection;
         schedule(1, () -> {
             if (ownConnection == currentConnection) {
@@ -269,7 +269,7 @@
     }
 
     @Override
-    public void send(byte[] request) {
+    public void sendToDiscovery(byte[] request) {
         lastCallAt = now;
         String line = new String(request, StandardCharsets.US_ASCII);
         long callVersion = line.contains("from=") ? Long.parseLong(line.replaceAll("(?s).*from=(\\d+).*", "$1")) : -1;
@@ -330,7 +330,7 @@
     }
 
     @Override
-    public void close() {
+    public void closeDiscovery() {
         currentConnection++;
         if (isCallPending) {
             callFailed();
@@ -340,7 +340,7 @@
     }
 
     @Override
-    public void members(long eventTime, ListKind listKind, List<ServerEntry> entries) {
+    public void onServerList(long eventTime, ListKind listKind, List<ServerEntry> entries) {
         reducer.onServerList(eventTime, listKind, entries);
     }
 
@@ -489,7 +489,7 @@
         drainedAtByServer
                 .keySet()
                 .forEach(uid -> notifiedAtByServer.merge(uid, now + NOTIFIED_AFTER_MOVE_NANOS, Math::min));
-        client.move(now, "elsewhere");
+        client.changeHost(now, "elsewhere");
         reducer.onDiscoveryMoved(now);
     }
 }
--- a/router/src/test/java/stoatrill/core/FleetWatchTest.java
+++ b/router/src/test/java/stoatrill/core/FleetWatchTest.java
@@ -49,7 +49,7 @@
     private record Call(Router router, int connection, long fromVersion, long arrivedAt, long holdUntil) {}
 
     /** A router's discovery client, reducer and module. */
-    private final class Router extends NoOpEffects implements DiscoveryClient.Peer {
+    private final class Router extends NoOpEffects implements DiscoveryClient.Environment {
         private final DeadlineQueue deadlines = new DeadlineQueue();
         private final List<Runnable> deferred = new ArrayList<>();
         private final Reducer reducer;
@@ -85,7 +85,7 @@
         }
 
         @Override
-        public void open() {
+        public void openDiscovery() {
             int openedConnection = ++connection;
             deferred.add(() -> {
                 if (openedConnection == connection) {
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public void send(byte[] request) {
+        public void sendToDiscovery(byte[] request) {
             String line = new String(request, StandardCharsets.US_ASCII);
             callTimes.add(now);
             switch (discoveryBehaviour) {
@@ -128,7 +128,7 @@
 
         /** Changes discovery's address, as the event loop does for a new configuration. */
         void changeDiscoveryHost() {
-            client.move(now, "elsewhere");
+            client.changeHost(now, "elsewhere");
             reducer.onDiscoveryMoved(now);
         }
 
@@ -138,12 +138,12 @@
         }
 
         @Override
-        public void close() {
+        public void closeDiscovery() {
             connection++;
         }
 
         @Override
-        public void members(long receivedAt, ListKind kind, List<ServerEntry> entries) {
+        public void onServerList(long receivedAt, ListKind kind, List<ServerEntry> entries) {
             knownAt = knownAt < 0 && !entries.isEmpty() ? receivedAt : knownAt;
             reducer.onServerList(receivedAt, kind, entries);
         }
--- a/router/src/test/java/stoatrill/core/RestartsWithoutDiscoveryTest.java
+++ b/router/src/test/java/stoatrill/core/RestartsWithoutDiscoveryTest.java
@@ -62,7 +62,7 @@
     private record Call(Router router, int connection, boolean isHeld, long arrivedAt) {}
 
     /** A router's discovery client, reducer and module, with servers that answer each query at once. */
-    private final class Router extends NoOpEffects implements DiscoveryClient.Peer {
+    private final class Router extends NoOpEffects implements DiscoveryClient.Environment {
         private final DeadlineQueue deadlines = new DeadlineQueue();
         private final List<Runnable> deferred = new ArrayList<>();
         private final Reducer reducer;
@@ -141,7 +141,7 @@
         }
 
         @Override
-        public void open() {
+        public void openDiscovery() {
             int openedConnection = ++connection;
             if (isDiscoveryDown && outage == Outage.IS_SILENT) {
                 callTimes.add(now);
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public void send(byte[] request) {
+        public void sendToDiscovery(byte[] request) {
             callTimes.add(now);
             String line = new String(request, StandardCharsets.US_ASCII);
             boolean isHeld = line.contains("from=" + NEWER_VERSION);
@@ -169,12 +169,12 @@
         }
 
         @Override
-        public void close() {
+        public void closeDiscovery() {
             connection++;
         }
 
         @Override
-        public void members(long receivedAt, ListKind kind, List<ServerEntry> entries) {
+        public void onServerList(long receivedAt, ListKind kind, List<ServerEntry> entries) {
             boolean listed = kind == ListKind.FULL || kind == ListKind.DELTA;
             listedAt = listed && listedAt < 0 ? receivedAt : listedAt;
             reducer.onServerList(receivedAt, kind, entries);
--- a/router/src/test/java/stoatrill/discovery/DiscoveryScenarioTest.java
+++ b/router/src/test/java/stoatrill/discovery/DiscoveryScenarioTest.java
@@ -18,7 +18,7 @@
 /**
  * Tests the discovery client with a fake clock; {@code module} starts watching, {@code list} is the discovery service.
  */
-class DiscoveryScenarioTest implements Scenario.Stage, DiscoveryClient.Peer {
+class DiscoveryScenarioTest implements Scenario.Stage, DiscoveryClient.Environment {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final String CONNECTED = "module send follow\nlist expect open\nlist send up\n";
     private static final String WATCHING = CONNECTED + "list expect GET /v1/servers?from=4&hold_ms=WAIT\n";
@@ -335,24 +335,24 @@
     }
 
     @Override
-    public void open() {
+    public void openDiscovery() {
         events.add("open");
     }
 
     @Override
-    public void send(byte[] request) {
+    public void sendToDiscovery(byte[] request) {
         String line = new String(request, StandardCharsets.US_ASCII).split(" HTTP", 0)[0];
         holdMillis = Long.parseLong(line.replaceFirst(".*hold_ms=|.*", "0"));
         events.add(holdMillis > 0 ? line.replace("=" + holdMillis, "=WAIT") : line);
     }
 
     @Override
-    public void close() {
+    public void closeDiscovery() {
         events.add("close");
     }
 
     @Override
-    public void members(long receivedAt, ListKind kind, List<ServerEntry> entries) {
+    public void onServerList(long receivedAt, ListKind kind, List<ServerEntry> entries) {
         events.add(kind + " " + entries.size());
     }
 
--- a/router/src/test/java/stoatrill/wire/CodecTest.java
+++ b/router/src/test/java/stoatrill/wire/CodecTest.java
@@ -99,7 +99,7 @@
             in.write(batch);
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Loop(new ByteArrayInputStream(in.toByteArray()), out).run();
+        new SimhostLoop(new ByteArrayInputStream(in.toByteArray()), out).run();
         return out.toByteArray();
     }
 
