--- a/lab/src/main/java/stoatrill/lab/LabMain.java
+++ b/lab/src/main/java/stoatrill/lab/LabMain.java
@@ -11,8 +11,8 @@
     /** Exits with 0 if all went well, 1 if a claim does not hold or a run failed, 2 on wrong usage. */
     public static void main(String[] args) {
         System.setProperty("java.awt.headless", "true"); // plots are drawn without a screen
-        CommandLine line = Commands.line();
+        CommandLine line = Commands.newCommandLine();
         line.addSubcommand(new Lab());
-        System.exit(Commands.wording(line).execute(args));
+        System.exit(Commands.withErrorHandlers(line).execute(args));
     }
 }
--- a/lab/src/main/java/stoatrill/lab/cli/Up.java
+++ b/lab/src/main/java/stoatrill/lab/cli/Up.java
@@ -54,7 +54,7 @@
             throw new CommandLine.ParameterException(
                     spec.commandLine(), "--ports takes two ports, --rate a number above 0");
         }
-        Logs.PLAIN.choose();
+        Logs.PLAIN.select();
         while (ports.size() < 2) {
             ports.add(0);
         }
--- a/lab/src/main/java/stoatrill/lab/run/Claim.java
+++ b/lab/src/main/java/stoatrill/lab/run/Claim.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Locale;
 import stoatrill.lab.policy.Policy;
+import stoatrill.settings.BlockReader;
 import stoatrill.settings.Directive;
 import stoatrill.settings.Quantity;
-import stoatrill.settings.Reader;
 import stoatrill.settings.Word;
 
 /**
@@ -27,21 +27,21 @@
     /** Whether it held, and the figures that say so. */
     public record Verdict(Claim claim, boolean held, double figure, double against) {}
 
-    static Claim read(Reader in, Directive d) {
-        List<Word> w = in.words(d, 4, 7, FORM);
+    static Claim read(BlockReader in, Directive d) {
+        List<Word> w = in.checkedWords(d, 4, 7, FORM);
         if (w == null) {
             return null;
         }
-        Metric metric = in.word(w.get(0), Metric.class, Metric.SCORE);
-        Policy policy = in.word(w.get(1), Policy.class, Policy.DECIDE);
-        Relation relation = in.word(w.get(2), Relation.class, Relation.ABOVE);
+        Metric metric = in.enumValue(w.get(0), Metric.class, Metric.SCORE);
+        Policy policy = in.enumValue(w.get(1), Policy.class, Policy.DECIDE);
+        Relation relation = in.enumValue(w.get(2), Relation.class, Relation.ABOVE);
         if (w.size() == 4) {
             return new Claim(metric, policy, relation, number(in, w.get(3)), null, null, 0);
         }
         if (w.size() == 6
                 || relation == Relation.IS
                 || (w.size() == 7 && !w.get(5).text().equals("by"))) {
-            in.wrong(d.place(), "this claim can't be read; write: " + FORM);
+            in.addProblem(d.position(), "this claim can't be read; write: " + FORM);
             return null;
         }
         return new Claim(
@@ -49,12 +49,12 @@
                 policy,
                 relation,
                 0,
-                in.word(w.get(3), Metric.class, Metric.SCORE),
-                in.word(w.get(4), Policy.class, Policy.DECIDE),
+                in.enumValue(w.get(3), Metric.class, Metric.SCORE),
+                in.enumValue(w.get(4), Policy.class, Policy.DECIDE),
                 w.size() == 7 ? number(in, w.get(6)) : 0);
     }
 
-    private static double number(Reader in, Word w) {
+    private static double number(BlockReader in, Word w) {
         return in.quantity(w, Quantity.NUMBER, -1_000_000_000_000L, 1_000_000_000_000L, 0) / 1e3;
     }
 
--- a/lab/src/main/java/stoatrill/lab/run/Experiment.java
+++ b/lab/src/main/java/stoatrill/lab/run/Experiment.java
@@ -15,12 +15,12 @@
 import stoatrill.lab.policy.Policy;
 import stoatrill.lab.world.Plan;
 import stoatrill.settings.Block;
+import stoatrill.settings.BlockReader;
 import stoatrill.settings.Directive;
-import stoatrill.settings.Place;
 import stoatrill.settings.Problems;
-import stoatrill.settings.Reader;
 import stoatrill.settings.SettingsException;
 import stoatrill.settings.SettingsFile;
+import stoatrill.settings.SourcePosition;
 import stoatrill.settings.Word;
 
 /**
@@ -56,38 +56,38 @@
             throws SettingsException, IOException {
         Problems problems = new Problems();
         Block block = with(SettingsFile.parse(file, text), settings);
-        Reader in = new Reader(block, problems);
+        BlockReader in = new BlockReader(block, problems);
         String name = in.text("experiment", "unnamed");
         String about = in.text("about", "");
         int seeds = in.count("seeds", 1, 10_000, 5);
         Plan plan = Plan.read(in);
         List<Policy> policies = new ArrayList<>();
-        Directive named = in.one("policies");
+        Directive named = in.directive("policies");
         if (named == null) {
             policies.addAll(List.of(Policy.values()));
         } else {
-            named.words().forEach(w -> policies.add(in.word(w, Policy.class, Policy.DECIDE)));
+            named.words().forEach(w -> policies.add(in.enumValue(w, Policy.class, Policy.DECIDE)));
         }
         List<Claim> claims = new ArrayList<>();
-        for (Directive d : in.all("claim")) {
+        for (Directive d : in.directives("claim")) {
             Claim claim = Claim.read(in, d);
             if (claim != null
                     && (!policies.contains(claim.policy())
                             || (claim.than() != null && !policies.contains(claim.than())))) {
-                in.wrong(d.place(), "this claim names a policy that is not played; add it to \"policies\"");
+                in.addProblem(d.position(), "this claim names a policy that is not played; add it to \"policies\"");
             }
             claims.add(claim);
         }
-        boolean withoutContracts = "contracts".equals(firstWord(in.one("without")));
-        Policy without = withoutContracts ? Policy.DECIDE : in.word("without", Policy.class, Policy.RANDOM);
+        boolean withoutContracts = "contracts".equals(firstWord(in.directive("without")));
+        Policy without = withoutContracts ? Policy.DECIDE : in.enumValue("without", Policy.class, Policy.RANDOM);
         List<Integer> sizes = new ArrayList<>();
-        Directive given = in.one("sizes");
+        Directive given = in.directive("sizes");
         if (given != null) {
             given.words()
                     .forEach(w -> sizes.add((int) in.quantity(w, stoatrill.settings.Quantity.COUNT, 1, 1_000_000, 1)));
         }
-        in.done();
-        problems.check();
+        in.reportUnknown();
+        problems.throwIfAny();
         if (plan.traceFile != null) {
             plan.trace = Trace.read(folder == null ? Path.of(plan.traceFile) : folder.resolve(plan.traceFile));
         }
@@ -125,7 +125,7 @@
                 all.add(d);
             }
         }
-        Place place = new Place("--set", 1, 1);
+        SourcePosition place = new SourcePosition("--set", 1, 1);
         List<Directive> inside = new ArrayList<>();
         if (model != null) {
             model.block().directives().stream()
@@ -135,14 +135,14 @@
         settings.forEach((key, value) -> {
             List<Word> words = new ArrayList<>();
             for (String word : value.split(" ", 0)) {
-                words.add(new Word(word, false, new Place("--set", 1, key.length() + 2)));
+                words.add(new Word(word, false, new SourcePosition("--set", 1, key.length() + 2)));
             }
             inside.add(new Directive(new Word(key, false, place), words, null));
         });
         all.add(new Directive(
-                new Word("model", false, model == null ? place : model.place()),
+                new Word("model", false, model == null ? place : model.position()),
                 List.of(),
-                new Block(inside, model == null ? place : model.block().at())));
-        return new Block(all, file.at());
+                new Block(inside, model == null ? place : model.block().position())));
+        return new Block(all, file.position());
     }
 }
--- a/lab/src/main/java/stoatrill/lab/scale/faketime/FleetModel.java
+++ b/lab/src/main/java/stoatrill/lab/scale/faketime/FleetModel.java
@@ -5,8 +5,8 @@
 import stoatrill.lab.world.FleetMeter;
 import stoatrill.lab.world.Plan;
 import stoatrill.lab.world.World;
+import stoatrill.settings.BlockReader;
 import stoatrill.settings.Problems;
-import stoatrill.settings.Reader;
 import stoatrill.settings.SettingsException;
 import stoatrill.settings.SettingsFile;
 
@@ -118,8 +118,8 @@
     private static Plan usual() {
         try {
             Problems problems = new Problems();
-            Plan plan = Plan.read(new Reader(SettingsFile.parse("model", "model {\n}\n"), problems));
-            problems.check();
+            Plan plan = Plan.read(new BlockReader(SettingsFile.parse("model", "model {\n}\n"), problems));
+            problems.throwIfAny();
             return plan;
         } catch (SettingsException e) {
             throw new IllegalStateException(e);
--- a/lab/src/main/java/stoatrill/lab/scale/hollow/HollowRouter.java
+++ b/lab/src/main/java/stoatrill/lab/scale/hollow/HollowRouter.java
@@ -48,7 +48,7 @@
         this.number = number;
         this.selector = selector;
         this.tally = tally;
-        this.discoveryAt = config.discovery();
+        this.discoveryAt = config.discoveryAddress();
         this.clocks = new Clocks(wall(), System.nanoTime());
         this.servers = new ModelServers(deadlines, this::now);
         this.reducer = new Reducer(
@@ -58,11 +58,11 @@
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
-                        config.models(),
-                        config.connectTimeout(),
-                        config.connIdle(),
-                        config.mostHeld(),
-                        config.sockets(),
+                        config.hostTypes(),
+                        config.connectTimeoutNanos(),
+                        config.idleTimeoutNanos(),
+                        config.heldRequestLimit(),
+                        config.socketLimit(),
                         config.seed()));
         servers.answerTo(reducer);
         this.clients = new ModelClients(reducer, deadlines, this::now, groups, config.seed(), tally);
--- a/lab/src/main/java/stoatrill/lab/world/Plan.java
+++ b/lab/src/main/java/stoatrill/lab/world/Plan.java
@@ -10,9 +10,9 @@
 import stoatrill.contract.Contracts;
 import stoatrill.lab.load.Range;
 import stoatrill.lab.load.Trace;
+import stoatrill.settings.BlockReader;
 import stoatrill.settings.Directive;
 import stoatrill.settings.Quantity;
-import stoatrill.settings.Reader;
 import stoatrill.settings.Word;
 
 /** What a deployment is like, as ranges that each day draws from. Spans are in nanoseconds. */
@@ -114,17 +114,17 @@
     public Contracts contracts;
     public List<Trace.Line> trace = List.of();
 
-    private Reader in;
+    private BlockReader in;
 
     /** Reads the blocks {@code model}, {@code class}, {@code team} and {@code trouble}, and {@code day}. */
-    public static Plan read(Reader file) {
+    public static Plan read(BlockReader file) {
         Plan p = new Plan();
-        p.length = file.span("day", S, 24 * LONG, p.length);
+        p.length = file.timeSpan("day", S, 24 * LONG, p.length);
         p.traceFile = file.text("trace", null);
         p.contractsFile = file.text("contracts", null);
-        file.block("model", p::model);
+        file.readBlock("model", p::model);
         Set<String> names = new HashSet<>();
-        for (Directive d : file.all("class")) {
+        for (Directive d : file.directives("class")) {
             named(
                     file,
                     d,
@@ -132,7 +132,7 @@
                     inside -> p.kinds.add(kind(inside, d.words().get(0).text())));
         }
         names.clear();
-        for (Directive d : file.all("team")) {
+        for (Directive d : file.directives("team")) {
             named(
                     file,
                     d,
@@ -141,12 +141,12 @@
                             d.words().get(0).text(),
                             inside.share("share", 0, 1, 0),
                             inside.number("worth", 0, 1e6, 1),
-                            inside.span("jump-at", 0, LONG, 0),
-                            inside.span("jump-for", 0, LONG, 10 * S),
+                            inside.timeSpan("jump-at", 0, LONG, 0),
+                            inside.timeSpan("jump-for", 0, LONG, 10 * S),
                             inside.number("jump", 1, 1000, 1))));
         }
         p.drawn = file.count("draw-troubles", 0, 100, 0);
-        for (Directive d : file.all("trouble")) {
+        for (Directive d : file.directives("trouble")) {
             p.trouble(file, d);
         }
         if (p.kinds.isEmpty()) {
@@ -191,37 +191,39 @@
         return p;
     }
 
-    private static void whole(Reader file, String what, double sum) {
-        if (Math.abs(sum - 1) > 0.011 && !file.all(what).isEmpty()) {
-            file.wrong(
-                    file.all(what).get(0).place(),
+    private static void whole(BlockReader file, String what, double sum) {
+        if (Math.abs(sum - 1) > 0.011 && !file.directives(what).isEmpty()) {
+            file.addProblem(
+                    file.directives(what).get(0).position(),
                     "the shares of all " + what + " blocks come to " + String.format(Locale.ROOT, "%.1f%%", sum * 100)
                             + "; make them 100%");
         }
     }
 
-    private static void named(Reader file, Directive d, Set<String> names, java.util.function.Consumer<Reader> then) {
-        List<Word> words = file.words(d, 1, 1, d.name().text() + " NAME {");
+    private static void named(
+            BlockReader file, Directive d, Set<String> names, java.util.function.Consumer<BlockReader> then) {
+        List<Word> words = file.checkedWords(d, 1, 1, d.name().text() + " NAME {");
         if (words == null) {
             return;
         }
         if (!names.add(words.get(0).text())) {
-            file.wrong(words.get(0).place(), "\"" + words.get(0).text() + "\" is given twice; rename one of them");
+            file.addProblem(
+                    words.get(0).position(), "\"" + words.get(0).text() + "\" is given twice; rename one of them");
         }
         inside(file, d, then);
     }
 
-    private static void inside(Reader file, Directive d, java.util.function.Consumer<Reader> then) {
+    private static void inside(BlockReader file, Directive d, java.util.function.Consumer<BlockReader> then) {
         if (d.block() == null) {
-            file.wrong(d.place(), "\"" + d.name().text() + "\" opens a block; end the line with '{'");
+            file.addProblem(d.position(), "\"" + d.name().text() + "\" opens a block; end the line with '{'");
             return;
         }
-        Reader inside = file.inside(d.block());
+        BlockReader inside = file.nestedReader(d.block());
         then.accept(inside);
-        inside.done();
+        inside.reportUnknown();
     }
 
-    private static Range spans(Reader in, String name, long least, long most) {
+    private static Range spans(BlockReader in, String name, long least, long most) {
         return range(in.range(name, Quantity.SPAN, 0, LONG, least, most), 1);
     }
 
@@ -240,10 +242,10 @@
                 in.range(name, Quantity.SHARE, 0, 10_000_000, Math.round(least * 1e6), Math.round(most * 1e6)), 1e6);
     }
 
-    private void model(Reader reader) {
+    private void model(BlockReader reader) {
         in = reader;
-        Directive named = in.one("zones");
-        if (named != null && in.words(named, 1, 16, "zones NAME ...") != null) {
+        Directive named = in.directive("zones");
+        if (named != null && in.checkedWords(named, 1, 16, "zones NAME ...") != null) {
             named.words().forEach(w -> zones.add(w.text()));
         } else {
             zones.addAll(List.of("mona", "papine"));
@@ -252,10 +254,10 @@
         groups = in.count("groups", 1, 100_000, 1);
         nodes = in.count("nodes", 1, 1_000_000, 6);
         if (nodes < groups) {
-            in.wrong(
-                    in.all("nodes").isEmpty()
-                            ? in.all("groups").get(0).place()
-                            : in.all("nodes").get(0).place(),
+            in.addProblem(
+                    in.directives("nodes").isEmpty()
+                            ? in.directives("groups").get(0).position()
+                            : in.directives("nodes").get(0).position(),
                     nodes + " nodes can't make " + groups + " groups; a group needs one at least");
         }
         cores = in.count("cores", 1, 1024, 8);
@@ -289,8 +291,8 @@
         listNotice = spans(in, "list-notice", 1_200 * MS, 5 * S);
         roleNotice = spans(in, "role-notice", 1_100 * MS, 5 * S);
         listSpread = spans(in, "list-spread", 25 * MS, 270 * MS);
-        listCall = in.span("list-call", 10_000, S, MS);
-        listPatience = in.span("list-patience", MS, LONG, 2 * S);
+        listCall = in.timeSpan("list-call", 10_000, S, MS);
+        listPatience = in.timeSpan("list-patience", MS, LONG, 2 * S);
         frontNotice = spans(in, "front-notice", 1_400 * MS, 4 * S);
         retries = numbers("client-retries", 2, 3.99);
         tryShare = shares("try-share", 0.4, 1);
@@ -299,33 +301,33 @@
         sockets = in.count("sockets", 64, 65_536, 512);
         probes = !"no".equals(in.text("probes", "yes"));
         attempts = in.count("attempts", 1, 64, 8);
-        tick = in.span("tick", 100_000, S, tick);
-        drainGrace = in.span("drain-grace", 0, LONG, 2 * S);
+        tick = in.timeSpan("tick", 100_000, S, tick);
+        drainGrace = in.timeSpan("drain-grace", 0, LONG, 2 * S);
         tipMultiple = in.number("tip-multiple", 1, 1000, 3);
-        tipAfter = in.span("tip-after", 20 * MS, LONG, S);
+        tipAfter = in.timeSpan("tip-after", 20 * MS, LONG, S);
     }
 
-    private static Kind kind(Reader in, String name) {
-        Consistency need = in.word("reads", Consistency.class, Consistency.ANY);
+    private static Kind kind(BlockReader in, String name) {
+        Consistency need = in.enumValue("reads", Consistency.class, Consistency.ANY);
         return new Kind(
                 name,
                 in.share("share", 0, 1, 0),
                 spans(in, "work", 30 * MS, 30 * MS),
                 in.share("noise", 0, 4, 0.3),
-                in.span("aim", MS, LONG, 150 * MS),
-                in.span("give-up", MS, LONG, 600 * MS),
+                in.timeSpan("aim", MS, LONG, 150 * MS),
+                in.timeSpan("give-up", MS, LONG, 600 * MS),
                 in.number("worth", 0, 1e6, 1),
                 in.number("late-worth", 0, 1, 0),
                 need,
-                in.span("age", 0, LONG, 300 * MS));
+                in.timeSpan("age", 0, LONG, 300 * MS));
     }
 
-    private void trouble(Reader file, Directive d) {
-        List<Word> words = file.words(d, 1, 1, "trouble KIND {");
+    private void trouble(BlockReader file, Directive d) {
+        List<Word> words = file.checkedWords(d, 1, 1, "trouble KIND {");
         if (words == null) {
             return;
         }
-        Trouble.Kind kind = file.word(words.get(0), Trouble.Kind.class, Trouble.Kind.JUMP);
+        Trouble.Kind kind = file.enumValue(words.get(0), Trouble.Kind.class, Trouble.Kind.JUMP);
         inside(file, d, inside -> {
             in = inside;
             boolean share = kind == Trouble.Kind.ROUTER_RESTART
--- a/lab/src/test/java/stoatrill/lab/run/ExperimentTest.java
+++ b/lab/src/test/java/stoatrill/lab/run/ExperimentTest.java
@@ -44,9 +44,9 @@
     private final StringWriter out = new StringWriter();
 
     private int lab(String... args) {
-        CommandLine line = Commands.line();
+        CommandLine line = Commands.newCommandLine();
         line.addSubcommand(new Lab());
-        Commands.wording(line).setOut(new PrintWriter(out, true)).setErr(new PrintWriter(out, true));
+        Commands.withErrorHandlers(line).setOut(new PrintWriter(out, true)).setErr(new PrintWriter(out, true));
         return line.execute(args);
     }
 
--- a/lab/src/test/java/stoatrill/lab/world/WorldTest.java
+++ b/lab/src/test/java/stoatrill/lab/world/WorldTest.java
@@ -14,8 +14,8 @@
 import stoatrill.Gateway.Result;
 import stoatrill.Gateway.Role;
 import stoatrill.lab.policy.Policy;
+import stoatrill.settings.BlockReader;
 import stoatrill.settings.Problems;
-import stoatrill.settings.Reader;
 import stoatrill.settings.SettingsFile;
 
 class WorldTest {
@@ -23,10 +23,10 @@
 
     static Plan plan(String text) throws Exception {
         Problems problems = new Problems();
-        Reader in = new Reader(SettingsFile.parse("t", text), problems);
+        BlockReader in = new BlockReader(SettingsFile.parse("t", text), problems);
         Plan plan = Plan.read(in);
-        in.done();
-        problems.check();
+        in.reportUnknown();
+        problems.throwIfAny();
         return plan;
     }
 
--- a/router/src/main/java/stoatrill/Main.java
+++ b/router/src/main/java/stoatrill/Main.java
@@ -55,15 +55,15 @@
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "serve" -> {
-                Logs.PLAIN.choose();
+                Logs.PLAIN.select();
                 serve();
             }
             case "simhost" -> simhost();
-            default -> System.exit(Commands.line().execute(args));
+            default -> System.exit(Commands.newCommandLine().execute(args));
         }
     }
 
-    /** Runs one router until SIGTERM or SIGINT. Call {@link Logs#choose} first. */
+    /** Runs one router until SIGTERM or SIGINT. Call {@link Logs#select} first. */
     public static void serve() {
         Signals.handle("HUP", Main::reload);
         // Installed before the listener is up: from then on every incoming connection counts as accepted, even if
@@ -73,7 +73,7 @@
         try {
             Config config =
                     Retry.within(START_RETRY_LIMIT_NANOS, Main::isTransient, () -> Config.read(System.getenv()));
-            Logs.name(config.name());
+            Logs.addRouterName(config.name());
             int classCount = Retry.within(START_RETRY_LIMIT_NANOS, Main::isTransient, ClassPreloader::load);
             log().debug("preloaded {} classes before accepting the first client", classCount);
             EventLoop loop = Retry.within(
@@ -149,7 +149,7 @@
     }
 
     /**
-     * Returns the logger. It is not a constant, since a logger made before {@link Logs#choose} would fix the library.
+     * Returns the logger. It is not a constant, since a logger made before {@link Logs#select} would fix the library.
      */
     private static Logger log() {
         return LoggerFactory.getLogger(Main.class);
--- a/router/src/main/java/stoatrill/cli/Commands.java
+++ b/router/src/main/java/stoatrill/cli/Commands.java
@@ -44,16 +44,16 @@
     private Commands() {}
 
     /** Creates the command line, to which other modules may add commands. */
-    public static CommandLine line() {
+    public static CommandLine newCommandLine() {
         CommandLine line = new CommandLine(new Commands());
         line.addSubcommand(new Serve());
         line.addSubcommand(new Simhost());
         line.addSubcommand(new Check());
-        return wording(line);
+        return withErrorHandlers(line);
     }
 
     /** Sets handlers that report errors as a single line, also for commands that are added later. */
-    public static CommandLine wording(CommandLine line) {
+    public static CommandLine withErrorHandlers(CommandLine line) {
         line.setCaseInsensitiveEnumValuesAllowed(true);
         line.setParameterExceptionHandler((error, args) -> {
             CommandLine failed = error.getCommandLine();
@@ -105,7 +105,7 @@
 
         @Override
         public Integer call() {
-            log.choose();
+            log.select();
             Main.serve();
             return 0;
         }
--- a/router/src/main/java/stoatrill/cli/Logs.java
+++ b/router/src/main/java/stoatrill/cli/Logs.java
@@ -23,14 +23,14 @@
     }
 
     /** Adds the router's name to all further log lines of this thread, if the format has a field for it. */
-    public static void name(String router) {
+    public static void addRouterName(String router) {
         if (System.getProperty("logback.configurationFile") != null) {
             MDC.put("router", router);
         }
     }
 
     /** Selects this format for the process. Has no effect once a logger has been created. */
-    public void choose() {
+    public void select() {
         System.setProperty("slf4j.provider", provider);
         System.setProperty("slf4j.internal.verbosity", "WARN"); // otherwise slf4j logs which provider it uses
         if (configuration != null) {
--- a/router/src/main/java/stoatrill/config/Config.java
+++ b/router/src/main/java/stoatrill/config/Config.java
@@ -22,34 +22,34 @@
  * A router's configuration: the JSON file named by {@code PROXY_CONFIG}, overridden by environment variables.
  *
  * @param name the router's name
- * @param listen the address to accept clients on
- * @param discovery the address of the discovery service
- * @param filed the discovery address given in the file, null if the file gives none
+ * @param listenAddress the address to accept clients on
+ * @param discoveryAddress the address of the discovery service
+ * @param discoveryInFile the discovery address given in the file, null if the file gives none
  * @param seed the seed of the router's random numbers
- * @param sockets how many sockets the router may open
- * @param known the last known server list, in the format of the discovery service; null if there is none
+ * @param socketLimit how many sockets the router may open
+ * @param knownServerList the last known server list, in the format of the discovery service; null if there is none
  * @param settings the settings of routing
  * @param zones the names of the zones
- * @param models the names of the host types
- * @param connIdle how long a connection may stay idle, in nanoseconds
- * @param connectTimeout how long a connection attempt may take, in nanoseconds
- * @param mostHeld how many requests the router may hold at a time
+ * @param hostTypes the names of the host types
+ * @param idleTimeoutNanos how long a connection may stay idle
+ * @param connectTimeoutNanos how long a connection attempt may take
+ * @param heldRequestLimit how many requests the router may hold at a time
  * @param contracts the contracts in the file named by {@code PROXY_CONTRACTS}, null if the variable is not set
  */
 public record Config(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
-        InetSocketAddress filed,
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
+        InetSocketAddress discoveryInFile,
         long seed,
-        int sockets,
-        String known,
+        int socketLimit,
+        String knownServerList,
         Gateway.Settings settings,
         List<String> zones,
-        List<String> models,
-        long connIdle,
-        long connectTimeout,
-        int mostHeld,
+        List<String> hostTypes,
+        long idleTimeoutNanos,
+        long connectTimeoutNanos,
+        int heldRequestLimit,
         Contracts contracts) {
 
     private static final int DEFAULT_SOCKET_COUNT = 1024;
@@ -94,18 +94,18 @@
     private Config withContracts(Contracts newContracts) {
         return new Config(
                 name,
-                listen,
-                discovery,
-                filed,
+                listenAddress,
+                discoveryAddress,
+                discoveryInFile,
                 seed,
-                sockets,
-                known,
+                socketLimit,
+                knownServerList,
                 settings,
                 zones,
-                models,
-                connIdle,
-                connectTimeout,
-                mostHeld,
+                hostTypes,
+                idleTimeoutNanos,
+                connectTimeoutNanos,
+                heldRequestLimit,
                 newContracts);
     }
 
--- a/router/src/main/java/stoatrill/contract/Contracts.java
+++ b/router/src/main/java/stoatrill/contract/Contracts.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import stoatrill.settings.Block;
+import stoatrill.settings.BlockReader;
 import stoatrill.settings.Directive;
 import stoatrill.settings.Problems;
 import stoatrill.settings.Quantity;
-import stoatrill.settings.Reader;
 import stoatrill.settings.SettingsException;
 import stoatrill.settings.SettingsFile;
 import stoatrill.settings.Word;
@@ -48,37 +48,37 @@
     public static Contracts parse(String file, String text) throws SettingsException {
         Block block = SettingsFile.parse(file, text);
         Problems problems = new Problems();
-        Reader reader = new Reader(block, problems);
+        BlockReader reader = new BlockReader(block, problems);
         List<Contract> all = new ArrayList<>();
         Map<String, Directive> directivesByPath = new HashMap<>();
-        parseTeams(reader, reader.all("team"), -1, WHOLE_SHARE, "the primary", all, directivesByPath, 1);
+        parseTeams(reader, reader.directives("team"), -1, WHOLE_SHARE, "the primary", all, directivesByPath, 1);
         int unknownTeamIndex = -1;
-        Directive directive = reader.one("unknown");
+        Directive directive = reader.directive("unknown");
         if (directive != null) {
-            List<Word> words = reader.words(directive, 1, 2, "unknown refuse, or unknown team NAME");
+            List<Word> words = reader.checkedWords(directive, 1, 2, "unknown refuse, or unknown team NAME");
             if (words != null && words.size() == 2 && words.get(0).text().equals("team")) {
                 for (int i = 0; i < all.size(); i++) {
                     unknownTeamIndex = all.get(i).path().equals(words.get(1).text()) ? i : unknownTeamIndex;
                 }
                 if (unknownTeamIndex < 0) {
-                    reader.wrong(
-                            words.get(1).place(),
+                    reader.addProblem(
+                            words.get(1).position(),
                             "there is no team \"" + words.get(1).text()
                                     + "\"; name one of this file, with its parents joined by dots");
                 }
             } else if (words != null
                     && !(words.size() == 1 && words.get(0).text().equals("refuse"))) {
-                reader.wrong(
-                        directive.place(), "\"unknown\" can't be read; write: unknown refuse, or unknown team NAME");
+                reader.addProblem(
+                        directive.position(), "\"unknown\" can't be read; write: unknown refuse, or unknown team NAME");
             }
         }
-        reader.done();
-        problems.check();
+        reader.reportUnknown();
+        problems.throwIfAny();
         return new Contracts(all, unknownTeamIndex);
     }
 
     private static void parseTeams(
-            Reader reader,
+            BlockReader reader,
             List<Directive> teams,
             int parent,
             long availableShare,
@@ -88,14 +88,14 @@
             int depth) {
         long promisedShare = 0;
         for (Directive directive : teams) {
-            List<Word> words = reader.words(directive, 1, 1, "team NAME {");
+            List<Word> words = reader.checkedWords(directive, 1, 1, "team NAME {");
             if (words == null) {
                 continue;
             }
             String name = words.get(0).text();
             if (directive.block() == null || !name.matches("[A-Za-z0-9_-]{1,63}") || depth > TEAM_DEPTH_LIMIT) {
-                reader.wrong(
-                        directive.place(),
+                reader.addProblem(
+                        directive.position(),
                         directive.block() == null
                                 ? "\"team\" opens a block; end the line with '{'"
                                 : depth > TEAM_DEPTH_LIMIT
@@ -108,17 +108,17 @@
             String path = parent < 0 ? name : all.get(parent).path() + "." + name;
             Directive earlier = directivesByPath.putIfAbsent(path, directive);
             if (earlier != null) {
-                reader.wrong(
-                        words.get(0).place(),
+                reader.addProblem(
+                        words.get(0).position(),
                         "team \"" + path + "\" is already in line "
-                                + earlier.place().line() + "; rename one of them");
+                                + earlier.position().line() + "; rename one of them");
             }
-            Reader blockReader = reader.inside(directive.block());
+            BlockReader blockReader = reader.nestedReader(directive.block());
             Contract contract = parseContract(blockReader, path, parent);
             promisedShare += contract.share();
             if (promisedShare > availableShare) {
-                reader.wrong(
-                        directive.place(),
+                reader.addProblem(
+                        directive.position(),
                         "with this team " + Quantity.SHARE.format(promisedShare) + " of " + owner
                                 + " are promised, and there are " + Quantity.SHARE.format(availableShare)
                                 + "; lower a share");
@@ -127,8 +127,8 @@
             if (parent >= 0
                     && all.get(parent).requestsPerDay() > 0
                     && contract.requestsPerDay() > all.get(parent).requestsPerDay()) {
-                reader.wrong(
-                        directive.place(),
+                reader.addProblem(
+                        directive.position(),
                         "\"" + path + "\" is promised " + Quantity.RATE.format(contract.requestsPerDay())
                                 + ", and the team above it "
                                 + Quantity.RATE.format(all.get(parent).requestsPerDay()) + "; lower this rate");
@@ -137,38 +137,38 @@
             all.add(contract);
             parseTeams(
                     blockReader,
-                    blockReader.all("team"),
+                    blockReader.directives("team"),
                     index,
                     contract.share(),
                     "team \"" + path + "\"",
                     all,
                     directivesByPath,
                     depth + 1);
-            blockReader.done();
+            blockReader.reportUnknown();
         }
     }
 
-    private static Contract parseContract(Reader reader, String path, int parent) {
+    private static Contract parseContract(BlockReader reader, String path, int parent) {
         long perDay = reader.quantity("rate", Quantity.RATE, 1, Long.MAX_VALUE / 4, 0);
         long perSecond = Math.max(1, perDay / 86_400);
         long burst = reader.quantity("burst", Quantity.COUNT, 1, 1_000_000_000, Math.min(1_000_000_000, perSecond));
         if (perDay > 0 && !RateBucket.canCountExactly(perDay, burst)) {
-            reader.wrong(
-                    reader.one("rate").place(),
+            reader.addProblem(
+                    reader.directive("rate").position(),
                     "this rate can't be counted exactly with a burst of " + burst
                             + "; round the rate to whole requests a second or minute, or lower the burst");
             perDay = 0;
         }
         long budget = 0;
         long window = DAY_NANOS;
-        Directive directive = reader.one("budget");
+        Directive directive = reader.directive("budget");
         if (directive != null) {
-            List<Word> words = reader.words(directive, 3, 3, "budget 100000 per 1h");
+            List<Word> words = reader.checkedWords(directive, 3, 3, "budget 100000 per 1h");
             if (words != null && words.get(1).text().equals("per")) {
                 budget = reader.quantity(words.get(0), Quantity.COUNT, 1, 1_000_000_000_000L, 1);
                 window = reader.quantity(words.get(2), Quantity.SPAN, 1_000_000_000L, 366 * DAY_NANOS, DAY_NANOS);
             } else if (words != null) {
-                reader.wrong(directive.place(), "\"budget\" can't be read; write: budget 100000 per 1h");
+                reader.addProblem(directive.position(), "\"budget\" can't be read; write: budget 100000 per 1h");
             }
         }
         return new Contract(
@@ -180,7 +180,7 @@
                 budget,
                 window,
                 reader.quantity("worth", Quantity.NUMBER, 0, 1_000_000_000, 1000),
-                reader.word("over", Contract.Over.class, Contract.Over.REFUSE));
+                reader.enumValue("over", Contract.Over.class, Contract.Over.REFUSE));
     }
 
     /**
--- a/router/src/main/java/stoatrill/net/EventLoop.java
+++ b/router/src/main/java/stoatrill/net/EventLoop.java
@@ -213,11 +213,11 @@
         LOG.debug(
                 "settings {} connect {} ms, idle {} ms, sockets {}",
                 config.settings(),
-                config.connectTimeout() / NANOS_PER_MILLI,
-                config.connIdle() / NANOS_PER_MILLI,
-                config.sockets());
+                config.connectTimeoutNanos() / NANOS_PER_MILLI,
+                config.idleTimeoutNanos() / NANOS_PER_MILLI,
+                config.socketLimit());
         this.clocks = new Clocks(wallClockNanos(), System.nanoTime());
-        this.descriptorBudget = new DescriptorBudget(config.sockets());
+        this.descriptorBudget = new DescriptorBudget(config.socketLimit());
         this.reducer = new Reducer(
                 this,
                 clocks,
@@ -225,18 +225,18 @@
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
-                        config.models(),
-                        config.connectTimeout(),
-                        config.connIdle(),
-                        config.mostHeld(),
+                        config.hostTypes(),
+                        config.connectTimeoutNanos(),
+                        config.idleTimeoutNanos(),
+                        config.heldRequestLimit(),
                         descriptorBudget.guaranteedServers(),
                         config.seed()));
         if (config.contracts() != null) {
             reducer.applyContracts(now(), config.contracts());
         }
-        ServerList knownList = parseKnownList(config.known());
-        this.fileDiscoveryAddress = config.filed();
-        this.discoveryAddress = config.discovery();
+        ServerList knownList = parseKnownList(config.knownServerList());
+        this.fileDiscoveryAddress = config.discoveryInFile();
+        this.discoveryAddress = config.discoveryAddress();
         this.discoveryClient = new DiscoveryClient(
                 this,
                 deadlines,
@@ -245,7 +245,7 @@
                 DiscoveryClient.Timing.of(config.settings(), config.seed()));
         this.cancelKeys = new CancelKeys(new FileReader(systemCalls));
         this.poller = new Poller(systemCalls);
-        this.listener = new Listener(systemCalls, poller, config.listen(), BACKLOG_LIMIT);
+        this.listener = new Listener(systemCalls, poller, config.listenAddress(), BACKLOG_LIMIT);
         reducer.onServerList(now(), Gateway.ListKind.CACHED, knownList.entries());
         if (config.settings().listOnRequest()) {
             isReady = !knownList.entries().isEmpty();
@@ -417,7 +417,7 @@
         }
         pendingConfig = null;
         reducer.applyContracts(now(), newConfig.contracts());
-        InetSocketAddress newAddress = newConfig.filed();
+        InetSocketAddress newAddress = newConfig.discoveryInFile();
         boolean hasMoved =
                 newAddress != null && !newAddress.equals(fileDiscoveryAddress) && !newAddress.equals(discoveryAddress);
         fileDiscoveryAddress = newAddress;
--- a/router/src/main/java/stoatrill/settings/Block.java
+++ b/router/src/main/java/stoatrill/settings/Block.java
@@ -6,6 +6,6 @@
  * The directives between two braces, or those of a whole file.
  *
  * @param directives the directives in the order of the file
- * @param at where the block opens
+ * @param position where the block opens
  */
-public record Block(List<Directive> directives, Place at) {}
+public record Block(List<Directive> directives, SourcePosition position) {}
--- a/router/src/main/java/stoatrill/settings/Reader.java
+++ b/router/src/main/java/stoatrill/settings/BlockReader.java
@@ -10,17 +10,17 @@
 
 /**
  * Reads the directives of one block by name and type. An invalid directive is added to {@link Problems} and its
- * fallback value is returned, so that reading goes on. {@link #done} then reports every directive whose name was never
- * requested. Not thread-safe.
+ * fallback value is returned, so that reading goes on. {@link #reportUnknown} then reports every directive whose name
+ * was never requested. Not thread-safe.
  */
-public final class Reader {
+public final class BlockReader {
     private final Block block;
     private final Problems problems;
     private final Map<String, List<Directive>> directivesByName = new HashMap<>();
     private final Set<String> requestedNames = new HashSet<>();
 
     /** Creates a reader of a block that adds errors to {@code problems}. */
-    public Reader(Block block, Problems problems) {
+    public BlockReader(Block block, Problems problems) {
         this.block = block;
         this.problems = problems;
         for (Directive directive : block.directives()) {
@@ -31,57 +31,57 @@
     }
 
     /** Returns all directives of a name, in the order of the file. */
-    public List<Directive> all(String name) {
+    public List<Directive> directives(String name) {
         requestedNames.add(name);
         return directivesByName.getOrDefault(name, List.of());
     }
 
     /** Returns the directive of a name, or null if there is none. A second one is an error. */
-    public Directive one(String name) {
-        List<Directive> matches = all(name);
+    public Directive directive(String name) {
+        List<Directive> matches = directives(name);
         for (int i = 1; i < matches.size(); i++) {
             problems.add(
-                    matches.get(i).place(),
+                    matches.get(i).position(),
                     "\"" + name + "\" is already given in line "
-                            + matches.get(0).place().line() + "; keep one of them");
+                            + matches.get(0).position().line() + "; keep one of them");
         }
         return matches.isEmpty() ? null : matches.get(0);
     }
 
     /** Passes a reader of a directive's block to a consumer, or one of an empty block if there is no such directive. */
-    public void block(String name, Consumer<Reader> consumer) {
-        Directive directive = one(name);
-        Block directiveBlock = directive == null ? new Block(List.of(), block.at()) : directive.block();
+    public void readBlock(String name, Consumer<BlockReader> consumer) {
+        Directive directive = directive(name);
+        Block directiveBlock = directive == null ? new Block(List.of(), block.position()) : directive.block();
         if (directiveBlock == null) {
-            problems.add(directive.place(), "\"" + name + "\" opens a block; end the line with '{'");
+            problems.add(directive.position(), "\"" + name + "\" opens a block; end the line with '{'");
             return;
         }
-        Reader reader = new Reader(directiveBlock, problems);
+        BlockReader reader = new BlockReader(directiveBlock, problems);
         consumer.accept(reader);
-        reader.done();
+        reader.reportUnknown();
     }
 
-    /** Returns a reader of a nested block. The caller calls its {@link #done}. */
-    public Reader inside(Block nested) {
-        return new Reader(nested, problems);
+    /** Returns a reader of a nested block. The caller calls its {@link #reportUnknown}. */
+    public BlockReader nestedReader(Block nested) {
+        return new BlockReader(nested, problems);
     }
 
     /** Returns the directive's single word or string, or the fallback. */
     public String text(String name, String fallback) {
-        Word word = singleWord(one(name));
+        Word word = singleWord(directive(name));
         return word == null ? fallback : word.text();
     }
 
     /**
      * Returns the directive's single word as one of an enum's constants, in lower case with dashes, or the fallback.
      */
-    public <E extends Enum<E>> E word(String name, Class<E> type, E fallback) {
-        Word word = singleWord(one(name));
-        return word == null ? fallback : word(word, type, fallback);
+    public <E extends Enum<E>> E enumValue(String name, Class<E> type, E fallback) {
+        Word word = singleWord(directive(name));
+        return word == null ? fallback : enumValue(word, type, fallback);
     }
 
     /** Returns a word as one of an enum's constants, in lower case with dashes, or the fallback. */
-    public <E extends Enum<E>> E word(Word word, Class<E> type, E fallback) {
+    public <E extends Enum<E>> E enumValue(Word word, Class<E> type, E fallback) {
         List<String> names = new ArrayList<>();
         for (E constant : type.getEnumConstants()) {
             names.add(constant.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
@@ -89,7 +89,7 @@
         int index = names.indexOf(word.text());
         if (index < 0) {
             problems.add(
-                    word.place(),
+                    word.position(),
                     "\"" + word.text() + "\" is not one of " + String.join(", ", names)
                             + suggestion(word.text(), names));
             return fallback;
@@ -99,7 +99,7 @@
 
     /** Returns the directive's single quantity, or the fallback. Both bounds are inclusive. */
     public long quantity(String name, Quantity kind, long min, long max, long fallback) {
-        Word word = singleWord(one(name));
+        Word word = singleWord(directive(name));
         return word == null ? fallback : quantity(word, kind, min, max, fallback);
     }
 
@@ -111,10 +111,10 @@
                 return value;
             }
             problems.add(
-                    word.place(),
+                    word.position(),
                     "\"" + word.text() + "\" is out of range; write " + kind.format(min) + " to " + kind.format(max));
         } catch (IllegalArgumentException e) {
-            problems.add(word.place(), e.getMessage());
+            problems.add(word.position(), e.getMessage());
         }
         return fallback;
     }
@@ -129,25 +129,25 @@
             long value = quantity(word, kind, min, max, fallback[0]);
             return new long[] {value, value};
         }
-        Word first = new Word(word.text().substring(0, dots), false, word.place());
-        Place secondPlace =
-                new Place(word.place().file(), word.place().line(), word.place().column() + dots + 2);
-        Word second = new Word(word.text().substring(dots + 2), false, secondPlace);
+        Word first = new Word(word.text().substring(0, dots), false, word.position());
+        SourcePosition secondPosition = new SourcePosition(
+                word.position().file(), word.position().line(), word.position().column() + dots + 2);
+        Word second = new Word(word.text().substring(dots + 2), false, secondPosition);
         long[] range = {quantity(first, kind, min, max, fallback[0]), quantity(second, kind, min, max, fallback[1])};
         if (range[0] > range[1]) {
-            problems.add(word.place(), "\"" + word.text() + "\" goes down; write the smaller value first");
+            problems.add(word.position(), "\"" + word.text() + "\" goes down; write the smaller value first");
         }
         return range;
     }
 
     /** Returns the directive's quantity, or its two with {@code ..} between them, as a range; or the fallback. */
     public long[] range(String name, Quantity kind, long min, long max, long... fallback) {
-        Word word = singleWord(one(name));
+        Word word = singleWord(directive(name));
         return word == null ? fallback : range(word, kind, min, max, fallback);
     }
 
     /** Returns a time span in nanoseconds. */
-    public long span(String name, long min, long max, long fallback) {
+    public long timeSpan(String name, long min, long max, long fallback) {
         return quantity(name, Quantity.SPAN, min, max, fallback);
     }
 
@@ -176,19 +176,19 @@
      * Returns the words of a directive if their number is within the bounds. Otherwise adds an error that shows the
      * expected form and returns null.
      */
-    public List<Word> words(Directive directive, int min, int max, String form) {
+    public List<Word> checkedWords(Directive directive, int min, int max, String form) {
         if (directive.words().size() >= min && directive.words().size() <= max) {
             return directive.words();
         }
         problems.add(
-                directive.place(),
+                directive.position(),
                 "\"" + directive.name().text() + "\" has " + directive.words().size() + " values; write: " + form);
         return null;
     }
 
     /** Adds an error that the caller has found, such as a value that is invalid for its directive. */
-    public void wrong(Place place, String message) {
-        problems.add(place, message);
+    public void addProblem(SourcePosition position, String message) {
+        problems.add(position, message);
     }
 
     /** Returns the only word of a directive; null if there is no directive, or an error if it has another form. */
@@ -198,7 +198,7 @@
         }
         if (directive.words().size() != 1 || directive.block() != null) {
             problems.add(
-                    directive.place(),
+                    directive.position(),
                     "\"" + directive.name().text() + "\" takes one value, and has "
                             + (directive.block() != null
                                     ? "a block"
@@ -209,13 +209,13 @@
     }
 
     /** Adds an error for each directive whose name was never requested. */
-    public void done() {
+    public void reportUnknown() {
         for (Directive directive : block.directives()) {
             String name = directive.name().text();
             if (!requestedNames.contains(name)) {
                 List<String> known = requestedNames.stream().sorted().toList();
                 problems.add(
-                        directive.place(),
+                        directive.position(),
                         "\"" + name + "\" is not known here"
                                 + (known.isEmpty()
                                         ? ""
--- a/router/src/main/java/stoatrill/settings/Directive.java
+++ b/router/src/main/java/stoatrill/settings/Directive.java
@@ -12,7 +12,7 @@
 public record Directive(Word name, List<Word> words, Block block) {
 
     /** Returns the position of the name. */
-    public Place place() {
-        return name.place();
+    public SourcePosition position() {
+        return name.position();
     }
 }
--- a/router/src/main/java/stoatrill/settings/Problems.java
+++ b/router/src/main/java/stoatrill/settings/Problems.java
@@ -6,7 +6,7 @@
 
 /** Collects the errors of a file, so that all of them are reported at once. Not thread-safe. */
 public final class Problems {
-    private record Problem(Place place, String message) {}
+    private record Problem(SourcePosition position, String message) {}
 
     private final List<Problem> found = new ArrayList<>();
 
@@ -15,12 +15,12 @@
      *
      * @param message what is wrong, and what to write instead
      */
-    public void add(Place place, String message) {
-        found.add(new Problem(place, message));
+    public void add(SourcePosition position, String message) {
+        found.add(new Problem(position, message));
     }
 
     /** Returns whether there are no errors so far. */
-    public boolean none() {
+    public boolean isEmpty() {
         return found.isEmpty();
     }
 
@@ -29,14 +29,14 @@
      *
      * @throws SettingsException with all errors, ordered by file, line and column
      */
-    public void check() throws SettingsException {
+    public void throwIfAny() throws SettingsException {
         if (!found.isEmpty()) {
             List<Problem> sorted = new ArrayList<>(found);
-            sorted.sort(Comparator.comparing((Problem p) -> p.place().file())
-                    .thenComparingInt(p -> p.place().line())
-                    .thenComparingInt(p -> p.place().column()));
+            sorted.sort(Comparator.comparing((Problem p) -> p.position().file())
+                    .thenComparingInt(p -> p.position().line())
+                    .thenComparingInt(p -> p.position().column()));
             throw new SettingsException(
-                    sorted.stream().map(p -> p.place() + ": " + p.message()).toList());
+                    sorted.stream().map(p -> p.position() + ": " + p.message()).toList());
         }
     }
 }
--- a/router/src/main/java/stoatrill/settings/SettingsFile.java
+++ b/router/src/main/java/stoatrill/settings/SettingsFile.java
@@ -15,7 +15,7 @@
     private final Problems problems = new Problems();
 
     /** A block that is not closed yet. */
-    private record OpenBlock(Word name, List<Word> words, List<Directive> directives, Place place) {}
+    private record OpenBlock(Word name, List<Word> words, List<Directive> directives, SourcePosition position) {}
 
     private SettingsFile(String file) {
         this.file = file;
@@ -33,7 +33,7 @@
 
     private Block read(String text) throws SettingsException {
         ArrayDeque<OpenBlock> openBlocks = new ArrayDeque<>();
-        openBlocks.push(new OpenBlock(null, List.of(), new ArrayList<>(), new Place(file, 1, 1)));
+        openBlocks.push(new OpenBlock(null, List.of(), new ArrayList<>(), new SourcePosition(file, 1, 1)));
         int lineNumber = 0;
         for (String line : text.split("\r?\n", -1)) {
             lineNumber++;
@@ -45,11 +45,11 @@
             Word last = words.get(words.size() - 1);
             boolean closesBlock = isBrace(first, "}");
             if (closesBlock && words.size() > 1) {
-                problems.add(words.get(1).place(), "nothing may follow '}'; put it on the next line");
+                problems.add(words.get(1).position(), "nothing may follow '}'; put it on the next line");
             }
             if (closesBlock) {
                 if (openBlocks.size() == 1) {
-                    problems.add(first.place(), "this '}' closes nothing; remove it or look for a missing '{'");
+                    problems.add(first.position(), "this '}' closes nothing; remove it or look for a missing '{'");
                 } else {
                     OpenBlock closed = openBlocks.pop();
                     openBlocks
@@ -58,7 +58,7 @@
                             .add(new Directive(
                                     closed.name(),
                                     closed.words(),
-                                    new Block(List.copyOf(closed.directives()), closed.place())));
+                                    new Block(List.copyOf(closed.directives()), closed.position())));
                 }
                 continue;
             }
@@ -68,35 +68,35 @@
             arguments.stream()
                     .filter(w -> isBrace(w, "{") || isBrace(w, "}"))
                     .forEach(w -> problems.add(
-                            w.place(),
+                            w.position(),
                             "a brace stands at the end of its line; write it in quotes if it is part of a value"));
             if (isBrace(first, "{")) {
-                problems.add(first.place(), "a block needs a name before its '{'");
+                problems.add(first.position(), "a block needs a name before its '{'");
             }
             if (!opensBlock) {
                 openBlocks.peek().directives().add(new Directive(first, arguments, null));
             } else if (openBlocks.size() > BLOCK_DEPTH_LIMIT) {
                 problems.add(
-                        first.place(),
+                        first.position(),
                         "blocks are more than " + BLOCK_DEPTH_LIMIT + " deep; a '}' is probably missing");
-                problems.check();
+                problems.throwIfAny();
             } else {
-                openBlocks.push(new OpenBlock(first, arguments, new ArrayList<>(), last.place()));
+                openBlocks.push(new OpenBlock(first, arguments, new ArrayList<>(), last.position()));
             }
         }
         while (openBlocks.size() > 1) {
             OpenBlock unclosed = openBlocks.pop();
             problems.add(
-                    unclosed.place(),
+                    unclosed.position(),
                     "the block \"" + unclosed.name().text() + "\" is not closed; add a line with '}'");
         }
-        problems.check();
+        problems.throwIfAny();
         return new Block(
-                List.copyOf(openBlocks.peek().directives()), openBlocks.peek().place());
+                List.copyOf(openBlocks.peek().directives()), openBlocks.peek().position());
     }
 
     private static boolean isBrace(Word word, String brace) {
-        return !word.quoted() && word.text().equals(brace);
+        return !word.isQuoted() && word.text().equals(brace);
     }
 
     private List<Word> splitWords(String line, int lineNumber) {
@@ -114,11 +114,12 @@
                 int start = index;
                 while (index < line.length() && " \t\"#".indexOf(line.charAt(index)) < 0) {
                     if (line.charAt(index) < ' ') {
-                        problems.add(new Place(file, lineNumber, index + 1), "a control character; remove it");
+                        problems.add(new SourcePosition(file, lineNumber, index + 1), "a control character; remove it");
                     }
                     index++;
                 }
-                words.add(new Word(line.substring(start, index), false, new Place(file, lineNumber, start + 1)));
+                words.add(
+                        new Word(line.substring(start, index), false, new SourcePosition(file, lineNumber, start + 1)));
             }
         }
         return words;
@@ -132,7 +133,7 @@
      */
     private int readString(String line, int lineNumber, int start, List<Word> words) {
         StringBuilder value = new StringBuilder();
-        Place place = new Place(file, lineNumber, start + 1);
+        SourcePosition position = new SourcePosition(file, lineNumber, start + 1);
         int index = start + 1;
         while (index < line.length() && line.charAt(index) != '"') {
             char character = line.charAt(index++);
@@ -142,13 +143,13 @@
                 char escape = line.charAt(index++);
                 value.append(escape == 'n' ? '\n' : escape == 't' ? '\t' : escape);
             } else {
-                problems.add(new Place(file, lineNumber, index), "after '\\' comes one of \" \\ n t");
+                problems.add(new SourcePosition(file, lineNumber, index), "after '\\' comes one of \" \\ n t");
             }
         }
         if (index >= line.length()) {
-            problems.add(place, "the string is not closed; add '\"' before the end of the line");
+            problems.add(position, "the string is not closed; add '\"' before the end of the line");
         }
-        words.add(new Word(value.toString(), true, place));
+        words.add(new Word(value.toString(), true, position));
         return index + 1;
     }
 }
--- a/router/src/main/java/stoatrill/settings/Place.java
+++ b/router/src/main/java/stoatrill/settings/SourcePosition.java
@@ -1,7 +1,7 @@
 package stoatrill.settings;
 
 /** A position in a file. Lines and columns are numbered from 1. */
-public record Place(String file, int line, int column) {
+public record SourcePosition(String file, int line, int column) {
     @Override
     public String toString() {
         return file + ":" + line + ":" + column;
--- a/router/src/main/java/stoatrill/settings/Word.java
+++ b/router/src/main/java/stoatrill/settings/Word.java
@@ -4,7 +4,7 @@
  * A token of a settings file: a bare word, or a quoted string.
  *
  * @param text the text, without quotes and with escapes replaced
- * @param quoted whether it is a quoted string
- * @param place where it begins
+ * @param isQuoted whether it is a quoted string
+ * @param position where it begins
  */
-public record Word(String text, boolean quoted, Place place) {}
+public record Word(String text, boolean isQuoted, SourcePosition position) {}
--- a/router/src/test/java/stoatrill/FewDescriptorsTest.java
+++ b/router/src/test/java/stoatrill/DescriptorShortageTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stoatrill.scenario.PgBytes.query;
-import static stoatrill.scenario.PgBytes.startup;
+import static stoatrill.scenario.PgMessages.query;
+import static stoatrill.scenario.PgMessages.startup;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -17,11 +17,11 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import stoatrill.scenario.RouterProcessDriver;
 import stoatrill.scenario.Scenario;
-import stoatrill.scenario.ServeStage;
 
 /** The process may open fewer descriptors than the router's configuration says. Tested over real connections. */
-class FewDescriptorsTest extends ServeStage {
+class DescriptorShortageTest extends RouterProcessDriver {
     private static final int ALLOWED_DESCRIPTOR_COUNT = 64;
     private static final int CLIENT_COUNT = 3;
     /** How many commands of a client the router reads in one turn. */
@@ -40,7 +40,7 @@
     @Test
     void closesIdleClientsWhenTheyHoldEveryDescriptor() throws Exception {
         allowedDescriptors = ALLOWED_DESCRIPTOR_COUNT;
-        play(FewDescriptorsTest::withLimitsAboveAllowed, CONNECTED + """
+        runScenario(DescriptorShortageTest::withLimitsAboveAllowed, CONNECTED + """
         c send write 1
         p expect write 1
         list expect GET /v1/servers?from=5&hold_ms=WAIT
@@ -60,7 +60,7 @@
     @Test
     void answersEachWriteOnceAndRunsNoneTwiceWithoutFreeDescriptors() throws Exception {
         allowedDescriptors = ALLOWED_DESCRIPTOR_COUNT;
-        play(FewDescriptorsTest::withLimitsAboveAllowed, """
+        runScenario(DescriptorShortageTest::withLimitsAboveAllowed, """
         list expect GET /v1/servers?from=5&hold_ms=WAIT
         p send always x
         """);
@@ -98,7 +98,7 @@
                 logged.stream().noneMatch(line -> line.startsWith("server rests")),
                 "the failure is attributed to the server: " + logged);
         // The router has recovered: it connects to discovery again and serves a new client.
-        Scenario.play(this, """
+        Scenario.run(this, """
         list close
         list expect GET /v1/servers?from=5&hold_ms=*
         list send {"rev":6,"all":false,"targets":[]}
--- a/router/src/test/java/stoatrill/HalfWrittenTest.java
+++ b/router/src/test/java/stoatrill/PartialWriteTest.java
@@ -1,11 +1,11 @@
 package stoatrill;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static stoatrill.scenario.PgBytes.GREETING;
-import static stoatrill.scenario.PgBytes.READY;
-import static stoatrill.scenario.PgBytes.query;
-import static stoatrill.scenario.PgBytes.row;
-import static stoatrill.scenario.PgBytes.startup;
+import static stoatrill.scenario.PgMessages.GREETING;
+import static stoatrill.scenario.PgMessages.READY;
+import static stoatrill.scenario.PgMessages.query;
+import static stoatrill.scenario.PgMessages.row;
+import static stoatrill.scenario.PgMessages.startup;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -31,7 +31,7 @@
  * message of the protocol whole, so the event loop runs here with a protocol that pads each query beyond the size of
  * the buffers.
  */
-class HalfWrittenTest {
+class PartialWriteTest {
     private static final int PADDING_BYTES = 32 << 20;
     private static final int READ_BYTES = 1_000;
     private static final int TIMEOUT_SECONDS = 20;
@@ -75,7 +75,7 @@
     void writeCutOffBeforeItsLastByteRunsOnceOnAnotherConnection() throws Exception {
         try (ServerSocket primary = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             String endpoint = "\"p\", \"endpoint\": \"127.0.0.1:";
-            String config = Scenario.config().replace(endpoint + "9", endpoint + primary.getLocalPort());
+            String config = Scenario.defaultConfig().replace(endpoint + "9", endpoint + primary.getLocalPort());
             EventLoop loop = new EventLoop(
                     Config.parse(config, Map.of()), PgClient::new, peer -> new PaddedProtocol(new PgServer(peer)));
             CompletableFuture<Void> router = run(loop);
--- a/router/src/test/java/stoatrill/RareMomentsTest.java
+++ b/router/src/test/java/stoatrill/RareConditionsTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import stoatrill.scenario.RouterProcessDriver;
 import stoatrill.scenario.Scenario;
-import stoatrill.scenario.ServeStage;
 
 /** Rare conditions, tested over real connections to a router process. */
-class RareMomentsTest extends ServeStage {
+class RareConditionsTest extends RouterProcessDriver {
     /** Enough connections to fill the queue of a listener with a backlog of 1. */
     private static final int BACKLOG_FILLING_COUNT = 4;
 
@@ -23,7 +23,7 @@
      */
     @Test
     void writesRejectedByDemotedPrimaryRunOnceOnNewPrimary() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         d send startup
         d expect ready
         e send startup
@@ -67,7 +67,7 @@
     @RepeatedTest(3)
     void startsWithLastKnownListWhenDiscoveryIsDown() throws Exception {
         String unreachable = "\"discovery\": \"127.0.0.1:1\"";
-        play(text -> text.replace("\"discovery\": \"127.0.0.1:9\"", unreachable), CONNECTED + """
+        runScenario(text -> text.replace("\"discovery\": \"127.0.0.1:9\"", unreachable), CONNECTED + """
         c send query ;
         c expect empty
         c send read 1
@@ -88,7 +88,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 5, 40, 103})
     void startsSplitRequestOnceWithItsLastByte(int cut) throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         gone send startup
         gone expect ready
         reset send startup
@@ -117,7 +117,9 @@
      */
     @Test
     void writeWaitsForSlowConnection() throws Exception {
-        play(text -> text.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2500000000"), CONNECTED + """
+        runScenario(
+                text -> text.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2500000000"),
+                CONNECTED + """
         p send hold
         c send write 1
         p expect connect
@@ -151,7 +153,7 @@
                 queued.add(channel);
             }
             String primary = "\"p\", \"endpoint\": \"127.0.0.1:";
-            play(
+            runScenario(
                     text -> text.replace(primary + "9", primary + listener.getLocalPort())
                             .replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2500000000"),
                     CONNECTED + """
@@ -165,7 +167,7 @@
             p expect nothing
             """);
             accept(listener, "p");
-            Scenario.play(this, """
+            Scenario.run(this, """
             p expect write 1
             p send row y
             c expect row y
@@ -180,7 +182,7 @@
     /** The first connection times out before it is established. The write is sent on a later one, once. */
     @Test
     void writeRunsOnceOnNextConnectionAfterConnectTimeout() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         p send hold
         c send write 1
         p expect connect
--- a/router/src/test/java/stoatrill/ServeScenarioTest.java
+++ b/router/src/test/java/stoatrill/ServeScenarioTest.java
@@ -3,20 +3,23 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stoatrill.scenario.PgBytes.row;
+import static stoatrill.scenario.PgMessages.row;
 
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import stoatrill.scenario.ServeStage;
+import stoatrill.scenario.RouterProcessDriver;
 
-/** Runs the router as a process and plays scenarios against it over loopback, with the actors of {@link ServeStage}. */
-class ServeScenarioTest extends ServeStage {
+/**
+ * Runs the router as a process and plays scenarios against it over loopback, with the actors of
+ * {@link RouterProcessDriver}.
+ */
+class ServeScenarioTest extends RouterProcessDriver {
     @Test
     void routesReadsToLocalReplicaAndWritesToPrimaryAndReturnsValues() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         c send query ;
         c expect empty
         c send read 1
@@ -32,7 +35,7 @@
 
     @Test
     void answersPipelinedRequestsInOrder() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         c send read+write 1
         p expect write 10
         p send row second
@@ -45,7 +48,7 @@
 
     @Test
     void retriesFailedReadOnAnotherServerButNotFailedWrite() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         c send read 1
         r1 expect read 1
         r1 send error XX000
@@ -61,7 +64,7 @@
 
     @Test
     void failsWriteWithoutRetryWhenServerClosesConnection() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         c send write 1
         p expect write 1
         p close
@@ -75,7 +78,7 @@
 
     @Test
     void answersMalformedInputWithSqlStateAndKeepsServing() throws Exception {
-        play("""
+        runScenario("""
         a send hex 0000000804d2162f
         a expect byte N
         a send startup
@@ -117,7 +120,7 @@
 
     @Test
     void rejectsInvalidRequestsWithoutForwardingThem() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         c send read 1
         r1 expect read 1
         thief send startup
@@ -143,7 +146,7 @@
 
     @Test
     void closesClientsWithIncompleteMessagesButNotIdleClients() throws Exception {
-        play("""
+        runScenario("""
         mute send hex
         begun send hex 0000
         asker send startup
@@ -168,7 +171,7 @@
 
     @Test
     void deliversErrorToClientThatIsStillSending() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         huge send startup
         huge expect ready
         huge send flood
@@ -184,7 +187,7 @@
 
     @Test
     void sendsNoNewRequestsToDrainedServers() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         list expect GET /v1/servers?from=5&hold_ms=WAIT
         list send {"rev":6,"all":false,"targets":[{"uid":"r1","endpoint":"127.0.0.1:9","az":"north",\
         "pod_group":0,"state":"Terminating"}]}
@@ -198,7 +201,7 @@
 
     @Test
     void fetchesPushedListBeforeServingAndWatchesItAfterwards() throws Exception {
-        play(text -> text.replace("on_request", "pushed"), """
+        runScenario(text -> text.replace("on_request", "pushed"), """
         c send startup
         c send read 1
         list expect GET /v1/servers?from=5&hold_ms=0
@@ -222,7 +225,9 @@
      */
     @Test
     void dropsUnreadCommandsOfDisconnectedClient() throws Exception {
-        play(text -> text.replace("writer", "reader").replace("\"mostHeld\": 5", "\"mostHeld\": 500"), CONNECTED + """
+        runScenario(
+                text -> text.replace("writer", "reader").replace("\"mostHeld\": 5", "\"mostHeld\": 500"),
+                CONNECTED + """
         c send writes 90
         r1 expect write *
         c close
@@ -241,7 +246,7 @@
 
     @Test
     void processesCommandsBeyondOneReadBatchOnceReady() throws Exception {
-        play(text -> text.replace("\"targets\": [", "\"targets\": [], \"none\": ["), """
+        runScenario(text -> text.replace("\"targets\": [", "\"targets\": [], \"none\": ["), """
         c send startup
         c expect ready
         c send many 64 ;
@@ -256,7 +261,7 @@
     /** The router is paused so that it reads a request and the client's disconnect in one turn of a late event loop. */
     @Test
     void doesNotForwardRequestReadTogetherWithDisconnect() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         d send startup
         d expect ready
         d send read 1
@@ -280,7 +285,7 @@
     /** The router is paused so that it reads the server's answer and the client's disconnect in one turn. */
     @Test
     void doesNotRetryAfterClientHasDisconnected() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         c send read 1
         r1 expect read 1
         r1 send error XX000
@@ -304,7 +309,7 @@
 
     @Test
     void cancelRequestEndsPendingStatementAndWrongKeyChangesNothing() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         c send write 1
         p expect write 1
         thief send cancel nobody
@@ -335,7 +340,7 @@
      */
     @Test
     void acceptsBacklogBeforeClosingListenerOnSigterm() throws Exception {
-        play(
+        runScenario(
                 text -> text.replace("\"giveUp\": 3000000000", "\"giveUp\": 500000000")
                         .replace(": 128", ": 512"),
                 CONNECTED + """
@@ -371,7 +376,7 @@
     void servesOthersWhenIdleClientsReachDescriptorLimit(
             int configuredSockets, int descriptorLimit, String clientBehavior) throws Exception {
         allowedDescriptors = descriptorLimit;
-        play(
+        runScenario(
                 text -> text.replace("\"sockets\": 128", "\"sockets\": " + configuredSockets),
                 CONNECTED + """
         c send write 1
@@ -388,7 +393,7 @@
     /** 500 clients each send half of a message of 128 KiB. The router's heap is as small as in production. */
     @Test
     void servesOthersDespiteManyIncompleteMessages() throws Exception {
-        play(text -> text.replace("\"sockets\": 128", "\"sockets\": 1024"), CONNECTED + """
+        runScenario(text -> text.replace("\"sockets\": 128", "\"sockets\": 1024"), CONNECTED + """
         c send write 1
         p expect write 1
         router send STOP
@@ -422,12 +427,12 @@
                     .append(cut)
                     .append("\np send row y\nc expect row y\n");
         }
-        play(steps.toString());
+        runScenario(steps.toString());
     }
 
     @Test
     void answersAcceptedRequestsBeforeExitOnSigterm() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         idle send startup
         idle expect ready
         c send read 1
@@ -454,7 +459,9 @@
      */
     @Test
     void answersPipelineInOrderOnSigtermDespiteIncompleteMessage() throws Exception {
-        play(text -> text.replace("writer", "reader").replace("\"mostHeld\": 5", "\"mostHeld\": 500"), CONNECTED + """
+        runScenario(
+                text -> text.replace("writer", "reader").replace("\"mostHeld\": 5", "\"mostHeld\": 500"),
+                CONNECTED + """
         c send writes 90
         c send hex 510000
         r1 expect write *
@@ -470,7 +477,7 @@
 
     @Test
     void reloadOnSighupMovesDiscoveryKeepsRequestsAndIgnoresInvalidFile() throws Exception {
-        play(CONNECTED + """
+        runScenario(CONNECTED + """
         list expect GET /v1/servers?from=5&hold_ms=WAIT
         c send read 1
         r1 expect read 1
--- a/router/src/test/java/stoatrill/UnreadAnswersTest.java
+++ b/router/src/test/java/stoatrill/UnreadAnswersTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stoatrill.scenario.PgBytes.query;
-import static stoatrill.scenario.PgBytes.startup;
+import static stoatrill.scenario.PgMessages.query;
+import static stoatrill.scenario.PgMessages.startup;
 
 import java.io.DataInputStream;
 import java.io.EOFException;
@@ -14,10 +14,10 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import stoatrill.scenario.ServeStage;
+import stoatrill.scenario.RouterProcessDriver;
 
 /** Clients that send requests and never read, over real connections to a router with the heap size of production. */
-class UnreadAnswersTest extends ServeStage {
+class UnreadAnswersTest extends RouterProcessDriver {
     /** Close to the largest allowed size of a value. */
     private static final int LARGE_VALUE_BYTES = 65_000;
 
@@ -36,7 +36,7 @@
     private int readerServedCount;
 
     private void startRouterAndReader() throws Exception {
-        play(
+        runScenario(
                 text -> text.replace("\"mostHeld\": 5", "\"mostHeld\": 20000").replace(": 128", ": 512"),
                 CONNECTED + "r1 send always " + VALUE + "\nr2 send always " + VALUE);
         reader = connect();
--- a/router/src/test/java/stoatrill/cli/CommandsTest.java
+++ b/router/src/test/java/stoatrill/cli/CommandsTest.java
@@ -18,7 +18,7 @@
     private Path directory;
 
     private int run(String... args) {
-        CommandLine line = Commands.line();
+        CommandLine line = Commands.newCommandLine();
         line.setOut(new PrintWriter(output, true)).setErr(new PrintWriter(output, true));
         return line.execute(args);
     }
--- a/router/src/test/java/stoatrill/config/GeneratedSettingsTest.java
+++ b/router/src/test/java/stoatrill/config/GeneratedSettingsTest.java
@@ -212,15 +212,17 @@
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
-                        config.models(),
-                        config.connectTimeout(),
-                        config.connIdle(),
-                        config.mostHeld(),
+                        config.hostTypes(),
+                        config.connectTimeoutNanos(),
+                        config.idleTimeoutNanos(),
+                        config.heldRequestLimit(),
                         30,
                         config.seed()));
         servers.reducer = reducer;
         reducer.onServerList(
-                START_NANOS, ListKind.CACHED, ServerList.parse(config.known()).entries());
+                START_NANOS,
+                ListKind.CACHED,
+                ServerList.parse(config.knownServerList()).entries());
         long[] deadlines = new long[requestCount];
         for (int step = 0, slot = 0; step < 10_000 && (slot < requestCount || reducer.unansweredCount() > 0); step++) {
             servers.nowNanos += MILLI_NANOS;
@@ -277,7 +279,7 @@
       """)
     void invalidSettingIsReportedWithPathValueAndExpectation(String validText, String invalidText, String message)
             throws Exception {
-        String text = Scenario.config();
+        String text = Scenario.defaultConfig();
         assertTrue(text.contains(validText));
         String invalidConfig =
                 text.replaceFirst(java.util.regex.Pattern.quote(validText), invalidText == null ? "" : invalidText);
--- a/router/src/test/java/stoatrill/core/AnsweredUnderFaultsTest.java
+++ b/router/src/test/java/stoatrill/core/AnsweredUnderFaultsTest.java
@@ -75,7 +75,7 @@
 
     private void startReducer(long seed) throws Exception {
         random = new SplittableRandom(seed);
-        String configText = Scenario.config().replace("\"mostHeld\": 5", "\"mostHeld\": 5000");
+        String configText = Scenario.defaultConfig().replace("\"mostHeld\": 5", "\"mostHeld\": 5000");
         for (int port = 1; configText.contains("127.0.0.1:9\", \"az\""); port++) {
             serverByPort.put(port, List.of("", "r1", "r2", "p").get(port));
             configText = configText.replaceFirst("127.0.0.1:9\", \"az\"", "127.0.0.1:" + port + "\", \"az\"");
@@ -88,14 +88,14 @@
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
-                        config.models(),
-                        config.connectTimeout(),
-                        config.connIdle(),
-                        config.mostHeld(),
+                        config.hostTypes(),
+                        config.connectTimeoutNanos(),
+                        config.idleTimeoutNanos(),
+                        config.heldRequestLimit(),
                         200,
                         seed));
         reducer.onServerList(
-                now, ListKind.CACHED, ServerList.parse(config.known()).entries());
+                now, ListKind.CACHED, ServerList.parse(config.knownServerList()).entries());
     }
 
     private void advance(long millis) {
--- a/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
+++ b/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
@@ -82,7 +82,7 @@
     void startRouter(String discovery, long graceMillis) throws Exception {
         isListOnRequest = discovery.equals("asked");
         graceNanos = graceMillis * NANOS_PER_MILLI;
-        String configText = Scenario.config()
+        String configText = Scenario.defaultConfig()
                 .replace("\"drainGrace\": 2000000000", "\"drainGrace\": " + graceNanos)
                 .replace("on_request", isListOnRequest ? "on_request" : "pushed")
                 .replace("\"mostHeld\": 5", "\"mostHeld\": 5000")
@@ -102,16 +102,16 @@
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
-                        config.models(),
-                        config.connectTimeout(),
-                        config.connIdle(),
-                        config.mostHeld(),
+                        config.hostTypes(),
+                        config.connectTimeoutNanos(),
+                        config.idleTimeoutNanos(),
+                        config.heldRequestLimit(),
                         400,
                         config.seed()));
         client = new DiscoveryClient(
                 this, deadlines, "h", 5, DiscoveryClient.Timing.of(config.settings(), config.seed()));
         reducer.onServerList(
-                now, ListKind.CACHED, ServerList.parse(config.known()).entries());
+                now, ListKind.CACHED, ServerList.parse(config.knownServerList()).entries());
         if (!isListOnRequest) {
             client.follow(now, true); // as the event loop does
         }
--- a/router/src/test/java/stoatrill/core/FleetWatchTest.java
+++ b/router/src/test/java/stoatrill/core/FleetWatchTest.java
@@ -66,15 +66,17 @@
                     new Reducer.Setup(
                             config.settings(),
                             config.zones(),
-                            config.models(),
-                            config.connectTimeout(),
-                            config.connIdle(),
-                            config.mostHeld(),
+                            config.hostTypes(),
+                            config.connectTimeoutNanos(),
+                            config.idleTimeoutNanos(),
+                            config.heldRequestLimit(),
                             40,
                             seed));
             client = new DiscoveryClient(this, deadlines, "h", 5, DiscoveryClient.Timing.of(config.settings(), seed));
             reducer.onServerList(
-                    now, ListKind.CACHED, ServerList.parse(config.known()).entries());
+                    now,
+                    ListKind.CACHED,
+                    ServerList.parse(config.knownServerList()).entries());
         }
 
         void runTurn() {
@@ -212,7 +214,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 14, 100, 120})
     void fleetLearnsOfDrainInTimeAfterSilentWatches(int routerCount) throws Exception {
-        Config config = Config.parse(Scenario.config(), Map.of());
+        Config config = Config.parse(Scenario.defaultConfig(), Map.of());
         long grace = config.settings().rules().drainGrace();
         for (int i = 0; i < routerCount; i++) {
             routers.add(new Router(config, i));
@@ -276,7 +278,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 14, 100, 120})
     void fleetLearnsOfDrainWithinSixSecondsOfDiscoveryRecovery(int routerCount) throws Exception {
-        Config config = Config.parse(Scenario.config(), Map.of());
+        Config config = Config.parse(Scenario.defaultConfig(), Map.of());
         for (String failure : List.of("refuses", "queues", "resets", "says half")) {
             for (int seconds : new int[] {1, 5, 30}) {
                 routers.clear();
@@ -317,7 +319,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 14, 100, 120})
     void fleetLearnsOfDrainWithinFourSecondsOfReload(int routerCount) throws Exception {
-        Config config = Config.parse(Scenario.config(), Map.of());
+        Config config = Config.parse(Scenario.defaultConfig(), Map.of());
         for (long drainsAfter : new long[] {0, 100, 1_000}) {
             routers.clear();
             queue.clear();
--- a/router/src/test/java/stoatrill/core/ReducerScenarioTest.java
+++ b/router/src/test/java/stoatrill/core/ReducerScenarioTest.java
@@ -23,7 +23,7 @@
  * sends {@code up}, {@code taken} (the last byte is written), outcomes, {@code noise} (unsolicited data, found before
  * reuse) and {@code spoilt} (malformed data), and expects the effects on its connections.
  */
-class ReducerScenarioTest implements Scenario.Stage, Effects {
+class ReducerScenarioTest implements Scenario.Driver, Effects {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long START_TIME = 1_700_000_000_000L * NANOS_PER_MILLI;
     private static final String READ_SENT_TO_R1 = """
@@ -53,7 +53,7 @@
     }
 
     private void play(int maxServerConnections, String script) throws Exception {
-        play(maxServerConnections, Scenario.config(), script);
+        play(maxServerConnections, Scenario.defaultConfig(), script);
     }
 
     private void play(int maxServerConnections, String configText, String script) throws Exception {
@@ -70,15 +70,15 @@
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
-                        config.models(),
-                        config.connectTimeout(),
-                        config.connIdle(),
-                        config.mostHeld(),
+                        config.hostTypes(),
+                        config.connectTimeoutNanos(),
+                        config.idleTimeoutNanos(),
+                        config.heldRequestLimit(),
                         maxServerConnections,
                         config.seed()));
         reducer.onServerList(
-                now, ListKind.CACHED, ServerList.parse(config.known()).entries());
-        Scenario.play(this, script);
+                now, ListKind.CACHED, ServerList.parse(config.knownServerList()).entries());
+        Scenario.run(this, script);
     }
 
     @AfterEach
@@ -279,7 +279,7 @@
 
     @Test
     void doesNotSendADelayedAttemptAfterTheClientLeftOrTheDeadline() throws Exception {
-        String noCancel = Scenario.config().replace("\"cancel\": true", "\"cancel\": false");
+        String noCancel = Scenario.defaultConfig().replace("\"cancel\": true", "\"cancel\": false");
         play(40, noCancel, """
         c send archive a 500
         r1 expect open
@@ -301,7 +301,7 @@
 
     @Test
     void doesNotSendADelayedRepeatAfterTheRepeatWindow() throws Exception {
-        String keyed = Scenario.config()
+        String keyed = Scenario.defaultConfig()
                 .replace("\"side_effect\"", "\"token\", \"group\": \"all\", \"repeatWindow\": 200000000");
         String repeat = UPLOAD_SENT_TO_P + """
         p send taken
@@ -382,7 +382,7 @@
         c expect a served
         """);
         reducer.setMaxServerConnections(now, 2);
-        Scenario.play(this, """
+        Scenario.run(this, """
         c send upload u 1000
         r1 expect nothing
         p expect open
@@ -391,7 +391,7 @@
         """);
         assertEquals(2, reducer.serverConnectionCount());
         reducer.setMaxServerConnections(now, 1);
-        Scenario.play(this, """
+        Scenario.run(this, """
         r1 expect close
         p expect nothing
         """);
@@ -436,7 +436,7 @@
             updateServerList(false, "n" + i, i % 2 == 0 ? "Gone" : "Terminating");
         }
         updateServerList(true, "r1", "Ready");
-        Scenario.play(this, """
+        Scenario.run(this, """
         r1 expect nothing
         c send archive b 500
         r1 expect query b 500
@@ -555,7 +555,7 @@
     }
 
     @Override
-    public void pass(long millis) {
+    public void advanceTime(long millis) {
         for (long end = now + millis * NANOS_PER_MILLI; now < end; now += NANOS_PER_MILLI) {
             reducer.runDueDeadlines(now);
         }
--- a/router/src/test/java/stoatrill/core/RequestGateTest.java
+++ b/router/src/test/java/stoatrill/core/RequestGateTest.java
@@ -27,7 +27,7 @@
 
     @BeforeEach
     void setUp() throws Exception {
-        settings = Config.parse(Scenario.config(), Map.of()).settings();
+        settings = Config.parse(Scenario.defaultConfig(), Map.of()).settings();
         gate = new RequestGate(settings);
         replica = new ServerPool.Server(1, new InetSocketAddress(InetAddress.getLoopbackAddress(), 9));
         replica.position = START_TIME;
--- a/router/src/test/java/stoatrill/core/RestartsWithoutDiscoveryTest.java
+++ b/router/src/test/java/stoatrill/core/RestartsWithoutDiscoveryTest.java
@@ -80,16 +80,18 @@
                     new Reducer.Setup(
                             config.settings(),
                             config.zones(),
-                            config.models(),
-                            config.connectTimeout(),
-                            config.connIdle(),
-                            config.mostHeld(),
+                            config.hostTypes(),
+                            config.connectTimeoutNanos(),
+                            config.idleTimeoutNanos(),
+                            config.heldRequestLimit(),
                             40,
                             seed));
             client = new DiscoveryClient(
                     this, deadlines, "h", KNOWN_VERSION, DiscoveryClient.Timing.of(config.settings(), seed));
             reducer.onServerList(
-                    now, ListKind.CACHED, ServerList.parse(config.known()).entries());
+                    now,
+                    ListKind.CACHED,
+                    ServerList.parse(config.knownServerList()).entries());
         }
 
         void runTurn() {
@@ -256,7 +258,7 @@
     })
     void hundredRestartedRoutersServeWithoutOverloadingDiscovery(Outage outageKind, long millisBetween)
             throws Exception {
-        Config config = Config.parse(Scenario.config(), Map.of());
+        Config config = Config.parse(Scenario.defaultConfig(), Map.of());
         outage = outageKind;
         long slot = 0;
         for (int i = 0; i < ROUTER_COUNT; i++) {
--- a/router/src/test/java/stoatrill/core/ShutdownTest.java
+++ b/router/src/test/java/stoatrill/core/ShutdownTest.java
@@ -36,7 +36,7 @@
 
     @Test
     void notifiesTheModuleOfRequestsFailedAtShutdown() throws Exception {
-        Config config = Config.parse(Scenario.config(), Map.of());
+        Config config = Config.parse(Scenario.defaultConfig(), Map.of());
         Reducer reducer = new Reducer(
                 new NoOpEffects() {
                     @Override
@@ -52,17 +52,17 @@
                 new Reducer.Setup(
                         config.settings(),
                         config.zones(),
-                        config.models(),
-                        config.connectTimeout(),
-                        config.connIdle(),
-                        config.mostHeld(),
+                        config.hostTypes(),
+                        config.connectTimeoutNanos(),
+                        config.idleTimeoutNanos(),
+                        config.heldRequestLimit(),
                         100,
                         config.seed()),
                 gateway -> createModuleWithoutAnswers());
         reducer.onServerList(
                 START_TIME,
                 Gateway.ListKind.CACHED,
-                ServerList.parse(config.known()).entries());
+                ServerList.parse(config.knownServerList()).entries());
         for (int slot = 0; slot < REQUEST_COUNT; slot++) {
             reducer.onRequest(
                     START_TIME,
--- a/router/src/test/java/stoatrill/discovery/DiscoveryScenarioTest.java
+++ b/router/src/test/java/stoatrill/discovery/DiscoveryScenarioTest.java
@@ -18,7 +18,7 @@
 /**
  * Tests the discovery client with a fake clock; {@code module} starts watching, {@code list} is the discovery service.
  */
-class DiscoveryScenarioTest implements Scenario.Stage, DiscoveryClient.Environment {
+class DiscoveryScenarioTest implements Scenario.Driver, DiscoveryClient.Environment {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final String CONNECTED = "module send follow\nlist expect open\nlist send up\n";
     private static final String WATCHING = CONNECTED + "list expect GET /v1/servers?from=4&hold_ms=WAIT\n";
@@ -51,7 +51,7 @@
 
     private void play(long version, Timing timing, String steps) throws Exception {
         client = new DiscoveryClient(this, deadlines, "h", version, timing);
-        Scenario.play(this, steps);
+        Scenario.run(this, steps);
     }
 
     @Test
@@ -172,7 +172,7 @@
             for (long[] row :
                     new long[][] {{0, 3_750, 5_750}, {250, 3_750, 5_500}, {2_000, 5_250, 5_250}, {60_000, 20_000, 5_250}
                     }) {
-                String text = Scenario.config()
+                String text = Scenario.defaultConfig()
                         .replace("\"drainGrace\": 2000000000", "\"drainGrace\": " + row[0] * NANOS_PER_MILLI);
                 Timing timing = Timing.of(
                         stoatrill.config.Config.parse(
@@ -294,7 +294,7 @@
     @Override
     public void send(String actor, String text) {
         if (actor.equals("clock")) {
-            pass(holdMillis + Long.parseLong(text.substring(13)));
+            advanceTime(holdMillis + Long.parseLong(text.substring(13)));
         } else if (actor.equals("module")) {
             client.follow(now, true);
         } else if (text.equals("up")) {
@@ -329,7 +329,7 @@
     }
 
     @Override
-    public void pass(long millis) {
+    public void advanceTime(long millis) {
         now += millis * NANOS_PER_MILLI;
         deadlines.runDue(now);
     }
--- a/router/src/test/java/stoatrill/net/ConnectionCloseRaceTest.java
+++ b/router/src/test/java/stoatrill/net/ConnectionCloseRaceTest.java
@@ -74,7 +74,7 @@
     private void start() throws Exception {
         int serverPort = listen(this::recordRequests);
         int discoveryPort = listen(this::recordDiscoveryCalls);
-        String text = Scenario.config()
+        String text = Scenario.defaultConfig()
                 .replace("\"discovery\": \"127.0.0.1:9\"", "\"discovery\": \"127.0.0.1:" + discoveryPort + "\"")
                 .replace("\"endpoint\": \"127.0.0.1:9\"", "\"endpoint\": \"127.0.0.1:" + serverPort + "\"")
                 .replace("\"giveUp\": 3000000000", "\"giveUp\": " + GIVE_UP_NANOS)
--- a/router/src/test/java/stoatrill/net/EachCallFailsTest.java
+++ b/router/src/test/java/stoatrill/net/EachCallFailsTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stoatrill.scenario.PgBytes.GREETING;
-import static stoatrill.scenario.PgBytes.READY;
-import static stoatrill.scenario.PgBytes.query;
-import static stoatrill.scenario.PgBytes.row;
-import static stoatrill.scenario.PgBytes.startup;
+import static stoatrill.scenario.PgMessages.GREETING;
+import static stoatrill.scenario.PgMessages.READY;
+import static stoatrill.scenario.PgMessages.query;
+import static stoatrill.scenario.PgMessages.row;
+import static stoatrill.scenario.PgMessages.startup;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -217,7 +217,7 @@
         try (ServerSocket primary = listen()) {
             serve(primary, runsByUpload);
             String address = "127.0.0.1:" + primary.getLocalPort();
-            String text = Scenario.config()
+            String text = Scenario.defaultConfig()
                     .replace("\"endpoint\": \"127.0.0.1:9\"", "\"endpoint\": \"" + address + "\"")
                     .replace("\"giveUp\": 3000000000", "\"giveUp\": 500000000")
                     .replace("\"giveUp\": 600000000", "\"giveUp\": 500000000");
--- a/router/src/test/java/stoatrill/pg/PgServerScenarioTest.java
+++ b/router/src/test/java/stoatrill/pg/PgServerScenarioTest.java
@@ -18,7 +18,7 @@
  * Tests the server protocol. {@code s send TYPE BODY} delivers a message byte by byte, {@code s send raw} delivers
  * bytes at once, and {@code s send query} makes the router send a query.
  */
-class PgServerScenarioTest implements Scenario.Stage, ServerProtocol.Environment {
+class PgServerScenarioTest implements Scenario.Driver, ServerProtocol.Environment {
     private static final String COLUMNS = "s send T ~^v~" + "~".repeat(18) + "\n";
     private static final String QUERY = "s send query\n";
     private static final String STARTUP = "s send R ~~~~\ns send Z I\ns expect up\n";
@@ -28,7 +28,7 @@
 
     @Test
     void servedAnswerCarriesRolePositionAndReport() throws Exception {
-        Scenario.play(this, STARTUP + QUERY + COLUMNS + """
+        Scenario.run(this, STARTUP + QUERY + COLUMNS + """
         s send D ~^~~~^x
         s send C SELECT 1~
         s send S server_role~reader~
@@ -45,7 +45,7 @@
 
     @Test
     void classifiesErrorsBySqlState() throws Exception {
-        Scenario.play(this, STARTUP + QUERY + """
+        Scenario.run(this, STARTUP + QUERY + """
         s send E SERROR~C25006~~
         s send Z I
         s expect MISS UNKNOWN -1 null true
@@ -66,7 +66,7 @@
 
     @Test
     void deliversCompleteAnswerWhenConnectionEnds() throws Exception {
-        Scenario.play(this, STARTUP + QUERY + COLUMNS + """
+        Scenario.run(this, STARTUP + QUERY + COLUMNS + """
         s send D ~^~~~^x
         s send C SELECT 1~
         s close
@@ -76,7 +76,7 @@
 
     @Test
     void reportsBrokenConnectionOnPartialAnswer() throws Exception {
-        Scenario.play(this, STARTUP + QUERY + COLUMNS + """
+        Scenario.run(this, STARTUP + QUERY + COLUMNS + """
         s send D ~^~~~^x
         s close
         s expect broken ENDED
@@ -85,7 +85,7 @@
 
     @Test
     void reportsFullServerAtStartup() throws Exception {
-        Scenario.play(this, """
+        Scenario.run(this, """
         s send E SFATAL~C53300~~
         s close
         s expect broken FULL
@@ -115,13 +115,13 @@
                 row + "s send C SELECT 1~\ns send raw 45",
                 row + "s send C SELECT 1~\ns send Z ?")) {
             server = new PgServer(this);
-            Scenario.play(this, STARTUP + QUERY + malformed + "\ns expect broken SPOILT\ns expect nothing\n");
+            Scenario.run(this, STARTUP + QUERY + malformed + "\ns expect broken SPOILT\ns expect nothing\n");
         }
     }
 
     @Test
     void errorAfterAnswerBeganDoesNotProveThatNothingRan() throws Exception {
-        Scenario.play(this, STARTUP + QUERY + COLUMNS + """
+        Scenario.run(this, STARTUP + QUERY + COLUMNS + """
         s send E SERROR~C53300~~
         s send Z I
         s expect ERROR UNKNOWN -1 null true
@@ -139,7 +139,7 @@
                 "commit_clock~99999999999999999999",
                 "commit_clock~")) {
             server = new PgServer(this);
-            Scenario.play(
+            Scenario.run(
                     this,
                     STARTUP + QUERY + COLUMNS + "s send D ~^~~~^x\ns send C SELECT 1~\ns send S " + notes
                             + "~\ns send Z I\ns expect OK UNKNOWN -1 null true\n");
@@ -148,12 +148,12 @@
 
     @Test
     void unexpectedBytesAfterAnswerEndTheConnectionAndKeepAnswer() throws Exception {
-        Scenario.play(this, STARTUP + QUERY + """
+        Scenario.run(this, STARTUP + QUERY + """
         s send raw 45 0000000c 433235303036 00 00 5a 00000005 49 54
         s expect MISS UNKNOWN -1 null false
         """);
         server = new PgServer(this);
-        Scenario.play(this, STARTUP + QUERY + """
+        Scenario.run(this, STARTUP + QUERY + """
         s send E C25006~~
         s send Z I
         s expect MISS UNKNOWN -1 null true
@@ -190,7 +190,7 @@
     }
 
     @Override
-    public void pass(long millis) {}
+    public void advanceTime(long millis) {}
 
     @Override
     public void onStartupComplete() {
--- a/router/src/test/java/stoatrill/scenario/PgBytes.java
+++ b/router/src/test/java/stoatrill/scenario/PgMessages.java
@@ -4,14 +4,14 @@
 import java.nio.charset.StandardCharsets;
 
 /** Messages of the PostgreSQL wire protocol, as scripted clients and servers in tests send them. */
-public final class PgBytes {
+public final class PgMessages {
     /** ReadyForQuery, which ends every answer. */
     public static final byte[] READY = message('Z', new byte[] {'I'});
     /** A server's reply to a startup message: AuthenticationOk and ReadyForQuery. */
     public static final byte[] GREETING =
             ByteBuffer.allocate(15).put(message('R', new byte[4])).put(READY).array();
 
-    private PgBytes() {}
+    private PgMessages() {}
 
     /** Returns a startup message of protocol 3.0. */
     public static byte[] startup() {
--- a/router/src/test/java/stoatrill/scenario/ServeStage.java
+++ b/router/src/test/java/stoatrill/scenario/RouterProcessDriver.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static stoatrill.scenario.PgBytes.GREETING;
-import static stoatrill.scenario.PgBytes.READY;
-import static stoatrill.scenario.PgBytes.message;
-import static stoatrill.scenario.PgBytes.query;
-import static stoatrill.scenario.PgBytes.row;
-import static stoatrill.scenario.PgBytes.startup;
+import static stoatrill.scenario.PgMessages.GREETING;
+import static stoatrill.scenario.PgMessages.READY;
+import static stoatrill.scenario.PgMessages.message;
+import static stoatrill.scenario.PgMessages.query;
+import static stoatrill.scenario.PgMessages.row;
+import static stoatrill.scenario.PgMessages.startup;
 
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
@@ -45,7 +45,7 @@
  * {@code router} is the process: its texts are signals, each sent after the configuration file has been replaced if the
  * text says so. Any other name is a client connection.
  */
-public abstract class ServeStage implements Scenario.Stage {
+public abstract class RouterProcessDriver implements Scenario.Driver {
     private static final long TIMEOUT_SECONDS = 20;
     protected static final String CONNECTED = "c send startup\nc expect ready\n";
     /** A new client gets its answer, and so does client c, whose write 1 is in progress. */
@@ -91,13 +91,13 @@
     protected int port;
 
     /** Starts the router and plays the steps. */
-    protected void play(String steps) throws Exception {
-        play(text -> text, steps);
+    protected void runScenario(String steps) throws Exception {
+        runScenario(text -> text, steps);
     }
 
     /** Starts the router with a changed configuration and plays the steps. */
-    protected void play(UnaryOperator<String> change, String steps) throws Exception {
-        String text = change.apply(Scenario.config());
+    protected void runScenario(UnaryOperator<String> change, String steps) throws Exception {
+        String text = change.apply(Scenario.defaultConfig());
         for (String server : List.of("r1", "r2", "p")) {
             text = text.replaceFirst(
                     "127.0.0.1:9\", \"az\"",
@@ -135,7 +135,7 @@
                         "router", logLine.replaceFirst(".* - ", "").replaceFirst("(moves|kept as it was).*", "$1"));
             }
         });
-        Scenario.play(this, steps);
+        Scenario.run(this, steps);
     }
 
     /** Writes the configuration with the discovery service of that name, or an invalid one with any other text. */
@@ -428,7 +428,7 @@
     }
 
     @Override
-    public void pass(long millis) {
+    public void advanceTime(long millis) {
         throw new IllegalArgumentException("wait is not supported here; scenarios in real time wait by expect steps");
     }
 
--- a/router/src/test/java/stoatrill/scenario/Scenario.java
+++ b/router/src/test/java/stoatrill/scenario/Scenario.java
@@ -4,12 +4,12 @@
 
 /**
  * Runs the scripts of scenario tests. Each line is one step: {@code ACTOR send TEXT}, {@code ACTOR expect TEXT},
- * {@code ACTOR close} or {@code wait MILLIS}. The {@link Stage} defines the meaning of the texts.
+ * {@code ACTOR close} or {@code wait MILLIS}. The {@link Driver} defines the meaning of the texts.
  */
 public final class Scenario {
 
     /** Carries out the steps of a scenario. */
-    public interface Stage {
+    public interface Driver {
         /** Makes an actor send a text. */
         void send(String actor, String text) throws Exception;
 
@@ -20,13 +20,13 @@
         void close(String actor) throws Exception;
 
         /** Lets time pass. */
-        void pass(long millis) throws Exception;
+        void advanceTime(long millis) throws Exception;
     }
 
     private Scenario() {}
 
     /** Plays the steps in order. A failure names the line of its step. */
-    public static void play(Stage stage, String steps) throws Exception {
+    public static void run(Driver driver, String steps) throws Exception {
         int lineNumber = 0;
         for (String line : steps.lines().toList()) {
             lineNumber++;
@@ -34,12 +34,12 @@
             String text = words.length > 2 ? words[2] : "";
             try {
                 if (words[0].equals("wait")) {
-                    stage.pass(Long.parseLong(words[1]));
+                    driver.advanceTime(Long.parseLong(words[1]));
                 } else if (!words[0].isEmpty()) {
                     switch (words[1]) {
-                        case "send" -> stage.send(words[0], text);
-                        case "expect" -> stage.expect(words[0], text);
-                        case "close" -> stage.close(words[0]);
+                        case "send" -> driver.send(words[0], text);
+                        case "expect" -> driver.expect(words[0], text);
+                        case "close" -> driver.close(words[0]);
                         default -> throw new IllegalArgumentException("no such verb: " + words[1]);
                     }
                 }
@@ -50,7 +50,7 @@
     }
 
     /** Returns the configuration that scenarios start from. */
-    public static String config() throws Exception {
+    public static String defaultConfig() throws Exception {
         try (var input = Scenario.class.getResourceAsStream("/config.json")) {
             return new String(input.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/router/src/test/java/stoatrill/settings/SettingsTest.java
+++ b/router/src/test/java/stoatrill/settings/SettingsTest.java
@@ -12,12 +12,12 @@
     private static List<String> problems(String text) {
         return assertThrows(SettingsException.class, () -> {
                     Problems problems = new Problems();
-                    Reader reader = new Reader(SettingsFile.parse("f", text), problems);
-                    reader.span("age", 0, 60_000_000_000L, 0);
+                    BlockReader reader = new BlockReader(SettingsFile.parse("f", text), problems);
+                    reader.timeSpan("age", 0, 60_000_000_000L, 0);
                     reader.share("part", 0, 1, 0);
-                    reader.block("pool", pool -> pool.count("size", 1, 9, 1));
-                    reader.done();
-                    problems.check();
+                    reader.readBlock("pool", pool -> pool.count("size", 1, 9, 1));
+                    reader.reportUnknown();
+                    problems.throwIfAny();
                 })
                 .problems();
     }
@@ -29,7 +29,7 @@
                 List.of("b", "c # \"d\""),
                 block.directives().get(0).words().stream().map(Word::text).toList());
         Directive size = block.directives().get(1).block().directives().get(0);
-        assertEquals(new Place("f", 4, 8), size.words().get(0).place());
+        assertEquals(new SourcePosition("f", 4, 8), size.words().get(0).position());
     }
 
     @ParameterizedTest
