--- a/router/src/main/java/stoatrill/contract/Contracts.java
+++ b/router/src/main/java/stoatrill/contract/Contracts.java
@@ -24,7 +24,7 @@
     /** The whole of the primary's work, in parts per million. */
     private static final long WHOLE_SHARE = 1_000_000L;
 
-    private static final long DAY_NANOS = 86_400_000_000_000L;
+    private static final long NANOS_PER_DAY = 86_400_000_000_000L;
     /** The largest number of teams nested in each other. */
     private static final int TEAM_DEPTH_LIMIT = 8;
 
@@ -160,13 +160,14 @@
             perDay = 0;
         }
         long budget = 0;
-        long window = DAY_NANOS;
+        long window = NANOS_PER_DAY;
         Directive directive = reader.directive("budget");
         if (directive != null) {
             List<Word> words = reader.checkedWords(directive, 3, 3, "budget 100000 per 1h");
             if (words != null && words.get(1).text().equals("per")) {
                 budget = reader.quantity(words.get(0), Quantity.COUNT, 1, 1_000_000_000_000L, 1);
-                window = reader.quantity(words.get(2), Quantity.SPAN, 1_000_000_000L, 366 * DAY_NANOS, DAY_NANOS);
+                window = reader.quantity(
+                        words.get(2), Quantity.SPAN, 1_000_000_000L, 366 * NANOS_PER_DAY, NANOS_PER_DAY);
             } else if (words != null) {
                 reader.addProblem(directive.position(), "\"budget\" can't be read; write: budget 100000 per 1h");
             }
--- a/router/src/main/java/stoatrill/contract/RateBucket.java
+++ b/router/src/main/java/stoatrill/contract/RateBucket.java
@@ -8,7 +8,7 @@
  * not go back. Not thread-safe.
  */
 final class RateBucket {
-    private static final long DAY_NANOS = 86_400_000_000_000L;
+    private static final long NANOS_PER_DAY = 86_400_000_000_000L;
 
     /** The cost of one request. The cost, gain, capacity and level are integers in the same smallest unit. */
     private final long requestCost;
@@ -26,9 +26,10 @@
      * @throws ArithmeticException if they can't be counted exactly together
      */
     RateBucket(long perDay, long burst, long now) {
-        long divisor =
-                BigInteger.valueOf(DAY_NANOS).gcd(BigInteger.valueOf(perDay)).longValue();
-        requestCost = DAY_NANOS / divisor;
+        long divisor = BigInteger.valueOf(NANOS_PER_DAY)
+                .gcd(BigInteger.valueOf(perDay))
+                .longValue();
+        requestCost = NANOS_PER_DAY / divisor;
         gainPerNano = perDay / divisor;
         capacity = Math.multiplyExact(requestCost, burst);
         level = capacity;
@@ -37,9 +38,10 @@
 
     /** Whether this rate and burst can be counted exactly together. */
     static boolean canCountExactly(long perDay, long burst) {
-        long divisor =
-                BigInteger.valueOf(DAY_NANOS).gcd(BigInteger.valueOf(perDay)).longValue();
-        return burst <= Long.MAX_VALUE / 2 / (DAY_NANOS / divisor);
+        long divisor = BigInteger.valueOf(NANOS_PER_DAY)
+                .gcd(BigInteger.valueOf(perDay))
+                .longValue();
+        return burst <= Long.MAX_VALUE / 2 / (NANOS_PER_DAY / divisor);
     }
 
     private void refill(long now) {
--- a/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
+++ b/router/src/main/java/stoatrill/discovery/DiscoveryClient.java
@@ -114,7 +114,7 @@
         FETCH
     }
 
-    private final Environment peer;
+    private final Environment environment;
     private final DeadlineQueue deadlines;
     private final Timing timing;
     private final SplittableRandom random;
@@ -141,8 +141,8 @@
      *
      * @param version the version of the list already held; negative if there is none
      */
-    public DiscoveryClient(Environment peer, DeadlineQueue deadlines, String host, long version, Timing timing) {
-        this.peer = peer;
+    public DiscoveryClient(Environment environment, DeadlineQueue deadlines, String host, long version, Timing timing) {
+        this.environment = environment;
         this.deadlines = deadlines;
         this.host = host;
         this.version = version;
@@ -191,7 +191,7 @@
         } else {
             isConnecting = true;
             setTimeout(now + Math.min(timing.answerTimeout(), Timing.CONNECT_TIMEOUT_NANOS), this::failCall);
-            peer.openDiscovery();
+            environment.openDiscovery();
         }
     }
 
@@ -205,7 +205,7 @@
             setTimeout(now + timing.answerTimeout(), this::handleLostCall);
         }
         String query = currentCall == CallKind.FETCH ? "" : "?from=" + version + "&hold_ms=" + holdMillis;
-        peer.sendToDiscovery(
+        environment.sendToDiscovery(
                 ("GET /v1/servers" + query + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
     }
@@ -292,7 +292,7 @@
             version = list.version();
             // The next call is sent first: a watch ends if it is not renewed within 200 ms.
             startNextCall(now);
-            peer.onServerList(now, list.isFull() ? ListKind.FULL : ListKind.DELTA, list.entries());
+            environment.onServerList(now, list.isFull() ? ListKind.FULL : ListKind.DELTA, list.entries());
         } catch (ServerList.InvalidListException e) {
             logUnusableResponse(e.getMessage());
             failCall(now);
@@ -303,7 +303,7 @@
     private void logUnusableResponse(String reason) {
         if (!badResponseLogged) {
             badResponseLogged = true;
-            peer.log("discovery at " + host + " sent an unusable response (" + reason
+            environment.log("discovery at " + host + " sent an unusable response (" + reason
                     + "); the previous list stays in use and is requested again");
         }
     }
@@ -318,7 +318,7 @@
 
     private void disconnect() {
         if (isConnected || isConnecting) {
-            peer.closeDiscovery();
+            environment.closeDiscovery();
         }
         isConnected = false;
         isConnecting = false;
@@ -331,7 +331,7 @@
         finishCall();
         checkNeeded = true;
         startNextCall(now);
-        peer.onServerList(now, ListKind.SILENT, List.of());
+        environment.onServerList(now, ListKind.SILENT, List.of());
     }
 
     /**
@@ -347,7 +347,7 @@
         isSecondTry = true;
         disconnect();
         startCall(now);
-        peer.onServerList(now, ListKind.SILENT, List.of());
+        environment.onServerList(now, ListKind.SILENT, List.of());
     }
 
     private void failCall(long now) {
@@ -358,7 +358,7 @@
         fullListRequested = false;
         checkNeeded = true; // changes made meanwhile are asked for by a call that is answered at once
         if (callWasOpen) {
-            peer.onServerList(now, ListKind.FAILED, List.of());
+            environment.onServerList(now, ListKind.FAILED, List.of());
         }
     }
 }
--- a/router/src/main/java/stoatrill/pg/PgClient.java
+++ b/router/src/main/java/stoatrill/pg/PgClient.java
@@ -19,7 +19,7 @@
     private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
 
     private final MessageReader input = new MessageReader(false, MAX_STARTUP_BYTES);
-    private final Environment peer;
+    private final Environment environment;
     private boolean startupComplete;
     private long nextSlot;
     private long commands;
@@ -41,9 +41,9 @@
         }
     }
 
-    /** Creates the protocol of one connection, which acts on its surroundings through {@code peer}. */
-    public PgClient(Environment peer) {
-        this.peer = peer;
+    /** Creates the protocol of one connection, which acts on its surroundings through {@code environment}. */
+    public PgClient(Environment environment) {
+        this.environment = environment;
     }
 
     @Override
@@ -72,7 +72,7 @@
                 handleCommand();
                 if (commands == commandLimit && input.hasUnreadBytes()) {
                     proceedScheduled = true;
-                    peer.scheduleCommands();
+                    environment.scheduleCommands();
                     return;
                 }
             }
@@ -84,10 +84,10 @@
     private void handleStartup() throws PgException {
         int code = input.int32(0);
         if (code == Messages.SSL_REQUEST_CODE || code == Messages.GSS_ENCRYPTION_REQUEST_CODE) {
-            peer.write(new byte[] {'N'});
+            environment.write(new byte[] {'N'});
         } else if (code == Messages.CANCEL_REQUEST_CODE) {
             if (input.bodySize() == 12) {
-                peer.cancelByKey(((long) input.int32(4) << 32) | (input.int32(8) & 0xffffffffL));
+                environment.cancelByKey(((long) input.int32(4) << 32) | (input.int32(8) & 0xffffffffL));
             }
             close(); // the protocol defines no reply to a cancel request
         } else if (code >>> 16 != 3) {
@@ -98,7 +98,7 @@
             startupComplete = true;
             team = parseTeam();
             input.setFraming(true, MAX_QUERY_BYTES);
-            peer.write(Messages.startupReply(peer.cancelKey()));
+            environment.write(Messages.startupReply(environment.cancelKey()));
         }
     }
 
@@ -157,7 +157,7 @@
         if (isBlank(statement)) {
             PendingReply emptyReply = new PendingReply(-1, true);
             pendingReplies.add(emptyReply);
-            if (peer.isReady()) {
+            if (environment.isReady()) {
                 complete(emptyReply, Messages.join(Messages.emptyQueryResponse(), Messages.readyForQuery()));
             }
             flushReplies();
@@ -166,7 +166,7 @@
         PendingReply reply = new PendingReply(nextSlot++, false);
         pendingReplies.add(reply);
         try {
-            peer.submit(reply.slot, PgStatement.parse(statement).withTeam(team));
+            environment.submit(reply.slot, PgStatement.parse(statement).withTeam(team));
         } catch (PgException e) {
             complete(
                     reply,
@@ -209,7 +209,7 @@
         flushReplies();
         if (wasCongested && !proceedScheduled) {
             proceedScheduled = true; // not read here: the answer may come while its request is being handed over
-            peer.scheduleCommands();
+            environment.scheduleCommands();
         }
     }
 
@@ -237,7 +237,7 @@
     public void cancelOldest() {
         for (PendingReply reply : pendingReplies) {
             if (reply.bytes == null && reply.slot >= 0) {
-                peer.cancelRequest(reply.slot);
+                environment.cancelRequest(reply.slot);
                 return;
             }
         }
@@ -262,10 +262,10 @@
         while (!pendingReplies.isEmpty() && pendingReplies.peek().bytes != null) {
             byte[] bytes = pendingReplies.poll().bytes;
             unwrittenBytes -= bytes.length;
-            peer.write(bytes);
+            environment.write(bytes);
         }
         if (closed && pendingReplies.isEmpty()) {
-            peer.closeAfterWrites();
+            environment.closeAfterWrites();
         }
     }
 
--- a/router/src/main/java/stoatrill/pg/PgServer.java
+++ b/router/src/main/java/stoatrill/pg/PgServer.java
@@ -34,7 +34,7 @@
     }
 
     private final MessageReader input = new MessageReader(true, MAX_ROW_BYTES);
-    private final Environment peer;
+    private final Environment environment;
     private Phase phase = Phase.STARTUP;
     private boolean isProbe;
     private int answerSize;
@@ -44,9 +44,9 @@
     private long positionMillis = -1;
     private Map<String, Double> report;
 
-    /** Creates the protocol of one connection, which reports its events to {@code peer}. */
-    public PgServer(Environment peer) {
-        this.peer = peer;
+    /** Creates the protocol of one connection, which reports its events to {@code environment}. */
+    public PgServer(Environment environment) {
+        this.environment = environment;
     }
 
     @Override
@@ -225,7 +225,7 @@
         if (phase == Phase.STARTUP) {
             require(errorSqlState == null && !input.hasUnreadBytes());
             phase = Phase.IDLE;
-            peer.onStartupComplete();
+            environment.onStartupComplete();
             return;
         }
         // Bytes after a complete answer: the answer counts, but the connection is not used for another query.
@@ -237,7 +237,7 @@
     private void deliverAnswer(boolean reusable) {
         ServerAnswer answer = new ServerAnswer(result(), role, positionMillis, report, answerMessages.toByteArray());
         resetAnswer();
-        peer.onAnswer(answer, reusable);
+        environment.onAnswer(answer, reusable);
     }
 
     private Result result() {
@@ -277,6 +277,6 @@
 
     private void reportBroken(DisconnectCause cause) {
         phase = Phase.CLOSED;
-        peer.onBroken(cause);
+        environment.onBroken(cause);
     }
 }
--- a/router/src/test/java/stoatrill/config/GeneratedSettingsTest.java
+++ b/router/src/test/java/stoatrill/config/GeneratedSettingsTest.java
@@ -29,8 +29,8 @@
 
 /** Random settings over the ranges that the protocol specification allows, and invalid settings. */
 class GeneratedSettingsTest {
-    private static final long MILLI_NANOS = 1_000_000L;
-    private static final long START_NANOS = 1_700_000_000_000L * MILLI_NANOS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long START_NANOS = 1_700_000_000_000L * NANOS_PER_MILLI;
     private static final String[] SEMANTICS = {"pure", "token", "side_effect"};
     private static final String[] READ_LEVELS = {"lag_bound", "eventual", "causal", "strong"};
 
@@ -58,16 +58,17 @@
             giveUpMillis.add(limitMillis);
             readLevels.add(level);
             lagBounds.add(
-                    level.equals("\"lag_bound\"") ? Long.toString((50 + random.nextInt(900)) * MILLI_NANOS) : "0");
+                    level.equals("\"lag_bound\"") ? Long.toString((50 + random.nextInt(900)) * NANOS_PER_MILLI) : "0");
             classes.add("{\"name\":\"" + classNames.get(classNames.size() - 1) + "\",\"aim\":"
-                    + (limitMillis * MILLI_NANOS / (1 + random.nextInt(8)))
-                    + ",\"giveUp\":" + limitMillis * MILLI_NANOS + ",\"gain\":" + random.nextInt(9) + ",\"lateWorth\":"
+                    + (limitMillis * NANOS_PER_MILLI / (1 + random.nextInt(8)))
+                    + ",\"giveUp\":" + limitMillis * NANOS_PER_MILLI + ",\"gain\":" + random.nextInt(9)
+                    + ",\"lateWorth\":"
                     + random.nextDouble()
                     + ",\"semantics\":"
                     + (writesData ? pickQuoted(random, "token", "side_effect") : pickQuoted(random, SEMANTICS))
                     + ",\"group\":"
                     + pickQuoted(random, "all", "zone", "cell") + ",\"repeatWindow\":"
-                    + random.nextInt(5_000) * MILLI_NANOS + "}");
+                    + random.nextInt(5_000) * NANOS_PER_MILLI + "}");
         }
         int zoneCount = 1 + random.nextInt(4);
         int groupCount = 1 + random.nextInt(3);
@@ -81,7 +82,8 @@
                     + zoneNames.get(random.nextInt(zoneCount))
                     + ",\"model\":\"m\",\"pod_group\":" + i % groupCount + ",\"state\":"
                     + pickQuoted(random, "Ready", "Ready", "Terminating")
-                    + ",\"boot_ms\":" + (random.nextBoolean() ? 0 : START_NANOS / MILLI_NANOS - random.nextInt(30_000))
+                    + ",\"boot_ms\":"
+                    + (random.nextBoolean() ? 0 : START_NANOS / NANOS_PER_MILLI - random.nextInt(30_000))
                     + ",\"access\":"
                     + pickQuoted(random, "writer", "reader") + "}");
         }
@@ -90,21 +92,22 @@
             tenants.add("{\"name\":\"t-" + i + "\",\"share\":0.2,\"allowancePerS\":" + random.nextInt(300) + "}");
         }
         String settings = "\"allowed\":{\"cancel\":" + random.nextBoolean() + ",\"connIdle\":"
-                + (1 + random.nextInt(60)) * 1_000L * MILLI_NANOS
-                + ",\"connectTimeout\":" + (50 + random.nextInt(950)) * MILLI_NANOS + ",\"maxAttempts\":"
+                + (1 + random.nextInt(60)) * 1_000L * NANOS_PER_MILLI
+                + ",\"connectTimeout\":" + (50 + random.nextInt(950)) * NANOS_PER_MILLI + ",\"maxAttempts\":"
                 + (1 + random.nextInt(9))
-                + ",\"maxRetryAfter\":" + random.nextInt(2_000) * MILLI_NANOS + ",\"mayProbe\":" + random.nextBoolean()
+                + ",\"maxRetryAfter\":" + random.nextInt(2_000) * NANOS_PER_MILLI + ",\"mayProbe\":"
+                + random.nextBoolean()
                 + ",\"mostHeld\":20000,\"peers\":false,\"retryAfter\":" + random.nextBoolean() + ",\"secondCopies\":"
                 + random.nextBoolean() + "},\"classes\":[" + String.join(",", classes) + "],\"discovery\":"
                 + pickQuoted(random, "on_request", "pushed") + ",\"hostTypes\":[\"m\"],\"zones\":["
                 + String.join(",", zoneNames)
                 + "],\"zone\":" + random.nextInt(zoneCount) + ",\"me\":0,\"replicasOfMe\":" + (1 + random.nextInt(120))
                 + ",\"step\":"
-                + (1 + random.nextInt(10)) * MILLI_NANOS + ",\"overShareWorth\":0.1,\"realms\":["
+                + (1 + random.nextInt(10)) * NANOS_PER_MILLI + ",\"overShareWorth\":0.1,\"realms\":["
                 + String.join(",", tenants)
                 + "],\"familyInfo\":{\"serverChecks\":" + pickQuoted(random, "off", "bounce", "await")
                 + ",\"holdsFor\":"
-                + random.nextInt(200) * MILLI_NANOS
+                + random.nextInt(200) * NANOS_PER_MILLI
                 + ",\"progressTold\":" + random.nextBoolean() + ",\"tokenMode\":"
                 + pickQuoted(random, "brought", "kept")
                 + ",\"showsRole\":"
@@ -113,13 +116,13 @@
                 + String.join(",", readLevels) + "]},\"report\":{\"columns\":[\"x0\",\"q\"],\"how\":"
                 + pickQuoted(random, "inline", "on_probe", "off")
                 + "},\"rules\":{\"answerSlack\":8000000,\"askWithin\":"
-                + (1 + random.nextInt(20)) * 1_000L * MILLI_NANOS
+                + (1 + random.nextInt(20)) * 1_000L * NANOS_PER_MILLI
                 + ",\"coldFrom\":"
-                + random.nextDouble() + ",\"drainGrace\":" + (250 + random.nextInt(1_750)) * MILLI_NANOS
+                + random.nextDouble() + ",\"drainGrace\":" + (250 + random.nextInt(1_750)) * NANOS_PER_MILLI
                 + ",\"tipAfter\":"
-                + (200 + random.nextInt(3_000)) * MILLI_NANOS + ",\"tipMultiple\":" + (1 + 3 * random.nextDouble())
+                + (200 + random.nextInt(3_000)) * NANOS_PER_MILLI + ",\"tipMultiple\":" + (1 + 3 * random.nextDouble())
                 + ",\"warmAfter\":"
-                + random.nextInt(20_000) * MILLI_NANOS + "}";
+                + random.nextInt(20_000) * NANOS_PER_MILLI + "}";
         return new Deployment(
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\""
                         + Integer.toHexString(random.nextInt()) + "\",\"limits\":{\"sockets\":"
@@ -182,7 +185,7 @@
                             new ServerAnswer(
                                     results[chance],
                                     random.nextBoolean() ? Role.PRIMARY : Role.REPLICA,
-                                    nowNanos / MILLI_NANOS - random.nextInt(400),
+                                    nowNanos / NANOS_PER_MILLI - random.nextInt(400),
                                     null,
                                     new byte[1]),
                             true);
@@ -225,11 +228,12 @@
                 ServerList.parse(config.knownServerList()).entries());
         long[] deadlines = new long[requestCount];
         for (int step = 0, slot = 0; step < 10_000 && (slot < requestCount || reducer.unansweredCount() > 0); step++) {
-            servers.nowNanos += MILLI_NANOS;
+            servers.nowNanos += NANOS_PER_MILLI;
             if (slot < requestCount && random.nextInt(3) == 0) {
                 int classIndex = random.nextInt(deployment.classNames().size());
-                deadlines[slot] =
-                        servers.nowNanos + deployment.giveUpMillis().get(classIndex) * MILLI_NANOS + 8 * MILLI_NANOS;
+                deadlines[slot] = servers.nowNanos
+                        + deployment.giveUpMillis().get(classIndex) * NANOS_PER_MILLI
+                        + 8 * NANOS_PER_MILLI;
                 reducer.onRequest(
                         servers.nowNanos,
                         1,
--- a/router/src/test/java/stoatrill/contract/ContractsTest.java
+++ b/router/src/test/java/stoatrill/contract/ContractsTest.java
@@ -18,9 +18,9 @@
 
 class ContractsTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long SECOND_NANOS = 1000 * NANOS_PER_MILLI;
-    private static final long DAY_NANOS = 86_400 * SECOND_NANOS;
-    private static final long START = 1_700_000_000L * SECOND_NANOS;
+    private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+    private static final long NANOS_PER_DAY = 86_400 * NANOS_PER_SECOND;
+    private static final long START = 1_700_000_000L * NANOS_PER_SECOND;
 
     private static Accounts accounts(String text) throws SettingsException {
         return new Accounts(Contracts.parse("c", text), START);
@@ -84,7 +84,7 @@
                 taken.add(now);
                 long from = now;
                 for (int i = taken.size() - 1; i >= 0; i--) {
-                    double limit = burst + (double) (from - taken.get(i)) * perDay / DAY_NANOS;
+                    double limit = burst + (double) (from - taken.get(i)) * perDay / NANOS_PER_DAY;
                     assertTrue(taken.size() - i <= limit + 1e-6, "exceeded in a span of " + (from - taken.get(i)));
                 }
             } else {
@@ -111,7 +111,7 @@
     void neverExceedsBudgetInAnyWindowAndAdvisesWhenReady(
             @ForAll @IntRange(min = 1, max = 20) int limit,
             @ForAll @Size(min = 1, max = 120) List<@LongRange(min = 0, max = 20_000_000_000L) Long> gaps) {
-        long window = 60 * SECOND_NANOS;
+        long window = 60 * NANOS_PER_SECOND;
         WindowBudget budget = new WindowBudget(limit, window, START);
         List<Long> taken = new ArrayList<>();
         long now = START;
@@ -124,7 +124,8 @@
                 assertTrue(taken.stream().filter(t -> t > from).count() <= limit);
             } else {
                 long ready = budget.readyAt(now);
-                assertTrue(ready > now && ready <= now + window * 66 / 64 + SECOND_NANOS, "ready in " + (ready - now));
+                assertTrue(
+                        ready > now && ready <= now + window * 66 / 64 + NANOS_PER_SECOND, "ready in " + (ready - now));
                 if (gap % 3 == 0) {
                     now = ready;
                     assertTrue(budget.hasRoom(now), "no room at the advised time");
@@ -160,7 +161,7 @@
         assertTrue(admits(accounts, 1, START), "the first");
         assertTrue(admits(accounts, 1, START), "the second");
         long ready = accounts.admit(1, true, START);
-        assertEquals(START + 3600 * SECOND_NANOS, ready);
+        assertEquals(START + 3600 * NANOS_PER_SECOND, ready);
         assertEquals(2, accounts.spent(0, START), "a refused request was charged");
         assertTrue(admits(accounts, 2, START));
         assertTrue(accounts.admit(2, true, START) > START, "the team above has spent its budget");
@@ -173,19 +174,21 @@
             assertEquals(Accounts.ADMITTED, accounts.admit(0, false, START));
         }
         assertTrue(admits(accounts, 0, START), "requests beyond the rate left a debt");
-        assertEquals(START + SECOND_NANOS, accounts.admit(0, true, START));
+        assertEquals(START + NANOS_PER_SECOND, accounts.admit(0, true, START));
     }
 
     @Test
     void limitsBurstAcrossMidnight() throws Exception {
         Accounts accounts = accounts("team a {\n budget 100 per 1d\n}\n");
-        long midnight = (START / DAY_NANOS + 1) * DAY_NANOS;
+        long midnight = (START / NANOS_PER_DAY + 1) * NANOS_PER_DAY;
         int admitted = 0;
-        for (long now = midnight - 60 * SECOND_NANOS; now < midnight + 60 * SECOND_NANOS; now += SECOND_NANOS / 2) {
+        for (long now = midnight - 60 * NANOS_PER_SECOND;
+                now < midnight + 60 * NANOS_PER_SECOND;
+                now += NANOS_PER_SECOND / 2) {
             admitted += admits(accounts, 0, now) ? 1 : 0;
         }
         assertEquals(100, admitted);
-        assertTrue(admits(accounts, 0, midnight + DAY_NANOS + DAY_NANOS / 32));
+        assertTrue(admits(accounts, 0, midnight + NANOS_PER_DAY + NANOS_PER_DAY / 32));
     }
 
     @Test
@@ -201,11 +204,11 @@
         assertTrue(halved.admit(1, true, START) > START, "30 requests of a burst of 20 are spent");
         assertEquals(30, halved.spent(1, START));
         int more = 0;
-        for (long now = START; now < START + 600 * SECOND_NANOS; now += SECOND_NANOS) {
+        for (long now = START; now < START + 600 * NANOS_PER_SECOND; now += NANOS_PER_SECOND) {
             more += admits(halved, 1, now) ? 1 : 0;
         }
         assertEquals(20, more, "the rest of the halved budget");
-        assertTrue(admits(halved, 0, START + 600 * SECOND_NANOS), "a new team has spent nothing");
+        assertTrue(admits(halved, 0, START + 600 * NANOS_PER_SECOND), "a new team has spent nothing");
     }
 
     @Test
@@ -219,7 +222,7 @@
             bucket.take();
             taken++;
         }
-        long off = Math.abs(now - (START + 36_500 * DAY_NANOS - DAY_NANOS / 7));
+        long off = Math.abs(now - (START + 36_500 * NANOS_PER_DAY - NANOS_PER_DAY / 7));
         assertTrue(off <= 7L * 36_500, "off by " + off + " ns, more than one nanosecond for each request");
     }
 
--- a/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
+++ b/router/src/test/java/stoatrill/core/DrainNotificationHarness.java
@@ -256,7 +256,7 @@
                 .getKey();
     }
 
-    // Peer of the discovery client
+    // Environment of the discovery client
 
     @Override
     public void openDiscovery() {
--- a/router/src/test/java/stoatrill/overload/TenantAllowancesTest.java
+++ b/router/src/test/java/stoatrill/overload/TenantAllowancesTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 class TenantAllowancesTest {
-    private static final long SECOND_NANOS = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     @Test
     void neverExceedsWithoutTenants() {
-        assertFalse(new TenantAllowances(new double[0]).exceeds(0, SECOND_NANOS));
+        assertFalse(new TenantAllowances(new double[0]).exceeds(0, NANOS_PER_SECOND));
     }
 
     @Test
@@ -22,7 +22,7 @@
         assertFalse(tenants.exceeds(0, 0));
         assertTrue(tenants.exceeds(0, 0));
         int permitted = 0;
-        for (long now = SECOND_NANOS / 100; now <= 100 * SECOND_NANOS; now += SECOND_NANOS / 100) {
+        for (long now = NANOS_PER_SECOND / 100; now <= 100 * NANOS_PER_SECOND; now += NANOS_PER_SECOND / 100) {
             permitted += tenants.exceeds(0, now) ? 0 : 1;
         }
         assertEquals(1000, permitted, 2);
