--- a/router/src/main/java/stoatrill/Decide.java
+++ b/router/src/main/java/stoatrill/Decide.java
@@ -19,9 +19,9 @@
  * events of {@link Gateway.Events} and acts through {@link Gateway}.
  *
  * <p>A write goes to the primary of its group. A read goes to a healthy replica in the gateway's own zone whose log
- * position satisfies the read, drawn at random with weights by latency times requests in flight. Where the local
- * replicas are busy or stale, the read goes to a remote replica that is fresh enough, then to the primary. The rest of
- * the module protects this path from overload and failures.
+ * position satisfies the read. The replica is drawn at random; a lower latency and fewer requests in flight make it
+ * more likely. Where the local replicas are busy or stale, the read goes to a remote replica that is fresh enough, then
+ * to the primary. The rest of the module protects this path from overload and failures.
  *
  * <p>Times are nanoseconds of the gateway's clock, and spans are nanoseconds. One thread at a time calls the module.
  */
@@ -29,16 +29,18 @@
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Ticks between two passes over the held requests: few enough to be prompt, and still cheap. */
+    /**
+     * Ticks between two passes over the held requests. A small number keeps waits short; the passes are still cheap.
+     */
     private static final int SWEEP_TICK_COUNT = 2;
 
-    /** Time constant of the latency estimate of a class. Smoothing by time means the same at any request rate. */
+    /** Time constant of the latency estimate of a class. Smoothing by time acts alike at any request rate. */
     private static final double LATENCY_TIME_CONSTANT_NANOS = 2e9;
 
     /** Time constant of the slowdown of a server or group, of the queues of a group and of the request rates. */
     private static final double SERVER_TIME_CONSTANT_NANOS = 3e9;
 
-    /** The largest weight of one answer in a smoothed estimate. */
+    /** The largest weight of one sample in a smoothed estimate. */
     private static final double SAMPLE_WEIGHT_LIMIT = 0.15;
 
     /** The largest slowdown that one sample counts: a larger one says nothing more about a server. */
@@ -47,10 +49,10 @@
     /** A server whose expected latency exceeds this share of the class's aim is busy for a read. */
     private static final double BUSY_AIM_SHARE = 0.5;
 
-    /** Share of the aim that a request of no worth may be expected to take. */
+    /** The largest expected latency, as a share of the aim, at which a request of no worth is accepted. */
     private static final double MIN_PATIENCE_AIM_SHARE = 0.2;
 
-    /** Share of the aim that a request of the highest worth may be expected to take. */
+    /** The largest expected latency, as a share of the aim, at which a request of the highest worth is accepted. */
     private static final double MAX_PATIENCE_AIM_SHARE = 1.0;
 
     /** A latency up to this multiple of the one without queueing does not indicate a queue. */
@@ -66,8 +68,8 @@
     private static final double OVERDUE_AIM_SHARE_LIMIT = 0.6;
 
     /**
-     * Silence for more than this multiple of the usual latency is a fault. A replica that reports more than this number
-     * of queued requests for each one in service is unhealthy.
+     * Silence for more than this multiple of the usual latency is a fault. A replica is unhealthy if its estimated
+     * queue exceeds this number of requests for each one in service.
      */
     private static final double SEVERE_DELAY_FACTOR = 4;
 
@@ -77,13 +79,19 @@
     /** Number of requests that a server is assumed to have in service where its report does not tell. */
     private static final double DEFAULT_IN_SERVICE_COUNT = 6;
 
-    /** A log position that has not moved for this long while other members advanced is stuck. */
+    /**
+     * A log position is stuck if it has not moved for this long and is more than twice this span behind the newest
+     * position of its group.
+     */
     private static final long STUCK_POSITION_NANOS = 500 * NANOS_PER_MILLI;
 
-    /** Fault score that ejects a server: two faults almost in a row. */
+    /** Fault score that ejects a server: two faults with at most one good answer between them. */
     private static final double FAULT_LIMIT = 1.5;
 
-    /** Where a whole zone fails, more faults are needed: as many as occur in a row with this probability by chance. */
+    /**
+     * Where a zone leaves requests unanswered, it takes more faults to eject a server: as many as occur in a row by
+     * chance with this probability.
+     */
     private static final double FALSE_SUSPICION_PROBABILITY = 0.02;
 
     /** A server that sends a malformed answer still runs, so this counts less than a fault. */
@@ -92,7 +100,7 @@
     /** A kept connection may break although its server is up, so a reset counts less than a fault. */
     private static final double RESET_FAULT_WEIGHT = 0.3;
 
-    /** A connection failure does not count against a server that was heard from within this span. */
+    /** A connection failure does not eject a server that was heard from within this span. */
     private static final long JUST_HEARD_NANOS = 100 * NANOS_PER_MILLI;
 
     /** Share of unanswered attempts above which a zone counts as impaired. */
@@ -112,13 +120,13 @@
 
     private static final long EJECTION_DOUBLINGS_LIMIT = 4;
 
-    /** An earlier ejection is forgotten for each such span since the last one. */
+    /** One ejection is forgotten for each such span since the last ejection. */
     private static final long EJECTION_EXPIRY_NANOS = 10_000 * NANOS_PER_MILLI;
 
     /** A server that is off the list and has been silent for this long is forgotten. */
     private static final long ABSENT_MEMBER_RETENTION_NANOS = 60_000 * NANOS_PER_MILLI;
 
-    /** Further attempts that each request adds to the retry budget, so that retries do not become the load. */
+    /** Further attempts that each request adds to the retry budget. The budget limits the load that retries cause. */
     private static final double RETRY_BUDGET_RATIO = 0.2;
 
     /** The most further attempts that the retry budget holds. */
@@ -127,7 +135,7 @@
     /** Share of the rules' slow-start budget that is used; the rest covers traffic of others that is not seen here. */
     private static final double SLOW_START_BUDGET_SHARE = 0.4;
 
-    /** Pause after all members refused a write as replicas; far shorter than any election. */
+    /** Pause after the search for a primary has tried all members; far shorter than any election. */
     private static final long PRIMARY_SEARCH_PAUSE_NANOS = 50 * NANOS_PER_MILLI;
 
     /** Least time between two probes of a server. */
@@ -154,7 +162,10 @@
     /** A list change that was missed counts as known after this span. */
     private static final long MISSED_CHANGE_NANOS = 6_000 * NANOS_PER_MILLI;
 
-    /** Part of that span and of the drain grace that is kept free for two list calls of the longest duration. */
+    /**
+     * Part of {@code MISSED_CHANGE_NANOS} plus the drain grace that is reserved for two list calls of the longest
+     * duration.
+     */
     private static final long LOST_CALLS_NANOS = 4_750 * NANOS_PER_MILLI;
 
     /** Number of sessions whose commits are kept; beyond it, all older writes share one lower bound. */
@@ -212,7 +223,7 @@
     /** Further attempts that may be made now. */
     private double retryBudget = RETRY_BUDGET_LIMIT;
 
-    /** An upper bound of how old reports are when they arrive. */
+    /** An estimated upper bound of the age of reports on arrival. */
     private double reportAge = INITIAL_REPORT_AGE_NANOS;
 
     private boolean hasStarted;
@@ -254,7 +265,7 @@
         /** The lag behind the present that the last received positions show. */
         double lag;
 
-        /** The time for which the role was last known. */
+        /** The latest time for which the role is known. */
         long roleAt = NONE;
 
         /** Latency as a multiple of the usual one. */
@@ -266,7 +277,7 @@
         /** Moving average of the number of attempts in flight. */
         double usualInFlight;
 
-        /** Faults since the last good answers; each good answer halves it. */
+        /** Weighted sum of the faults; each good answer halves it. */
         double faultScore;
 
         int inFlight;
@@ -282,13 +293,13 @@
 
         boolean probePending;
 
-        /** Whether the server was ejected and has shown no good sign since. */
+        /** Whether the server was ejected and has neither answered a request nor reported well since. */
         boolean isSuspected;
 
         /** Whether the last ejection was for error answers. */
         boolean ejectedForErrors;
 
-        /** When the server last answered a request. */
+        /** When the server last answered a request; a refusal as full does not count. */
         long lastHeardAt = NONE;
 
         long ejectedUntil = NONE;
@@ -313,7 +324,7 @@
         final List<RequestState> heldRequests = new ArrayList<>();
         MemberState primary;
 
-        /** The time for which the primary was last known, or known to be none. */
+        /** The latest time for which it is known which member is the primary, or that none is. */
         long primaryRoleAt = NONE;
 
         /** The search for the primary does not start before this time. */
@@ -473,7 +484,8 @@
 
     /**
      * Chooses a server for the request, or null if none can take it now or the read waits for a report. A read goes to
-     * local replicas, then to remote ones, then to the primary, in each case if they are fresh enough and not busy.
+     * local replicas, then to remote ones, then to the primary, in each case if they are fresh enough and not busy. A
+     * local primary with spare capacity comes before the remote replicas.
      */
     private MemberState chooseMember(RequestState request) {
         MemberState primary = request.group.primary;
@@ -496,8 +508,8 @@
         chosen = chosen == null ? drawReplica(request, false) : chosen;
         chosen = chosen == null && isAllowed && !isBusy(primary, request) ? primary : chosen;
         for (int i = 0; chosen == null && i < 2; i++) {
-            // If all members are busy, the fastest of them serves the read. If all are ejected, none of them is to
-            // blame, so the second round ignores ejections.
+            // If all members are busy, the fastest of them serves the read. If all are ejected, the cause is probably
+            // not in a single server, so the second round ignores ejections.
             for (MemberState candidate : request.group.members) {
                 isAllowed = i == 0
                         ? isEligible(candidate, request)
@@ -519,8 +531,8 @@
      * Probes a server before its use if nothing was heard from it recently and its zone leaves requests unanswered.
      * Returns true while the request waits for the report. This requires servers whose reports show queues.
      *
-     * <p>Otherwise each gateway would send its first request to every server that hangs or is gone. The cost is a probe
-     * and 3 ms for each such request.
+     * <p>Without this, each gateway would learn that a server hangs or is gone only from a request sent to it. The cost
+     * is a probe and 3 ms for each such request.
      */
     private boolean probeBeforeUse(RequestState request, MemberState member) {
         boolean mayWait = reportsShowQueues
@@ -532,8 +544,8 @@
 
     /**
      * Whether a read should prefer another server. A server is busy if the expected latency with the attempts in flight
-     * approaches the class's aim or exceeds what the request is worth waiting for, or if it refused a request as full.
-     * This avoids a refusal while another server has room.
+     * exceeds a share of the class's aim or the latency acceptable for the request, or if the server refused a request
+     * as full. This avoids a refusal while another server has room.
      */
     private boolean isBusy(MemberState member, RequestState request) {
         double limit = Math.min(
@@ -543,12 +555,12 @@
     }
 
     /**
-     * Probes a member whose known position is too old for a read: a local one first, and now and then any one if no
+     * Probes a member whose known position is too old for a read: a local one first, then at intervals any one if no
      * server is fresh enough. Returns true while the read waits for the report. Where servers check reads, the read
      * does not wait and the report serves later reads only.
      *
-     * <p>Without this, reads would leave their zone only because positions are not known. The cost is that in a zone
-     * that lags behind each read waits.
+     * <p>Without this, reads would leave their zone only because positions are not known. The cost is that each read
+     * waits in a zone that lags behind.
      */
     private boolean probeForPosition(RequestState request, boolean localOnly) {
         if (request.probeRequestedAt == NONE
@@ -580,7 +592,7 @@
                 && primary.group.members.stream().noneMatch(m -> m != primary && m.zone == primary.zone && isListed(m));
     }
 
-    /** Whether a server may take a read: it is healthy, fresh enough, not tried before and not too cold. */
+    /** Whether a server may take a read: it is healthy, fresh enough, not tried before and allowed by slow start. */
     private boolean isEligible(MemberState member, RequestState request) {
         boolean reportOverdue = member.probePending && now - member.probedAt >= PROBE_WAIT_NANOS;
         return isListed(member)
@@ -593,7 +605,7 @@
 
     /**
      * Draws a replica that is eligible and not busy from the gateway's own zone or from the others, or null. The weight
-     * is the inverse square of latency times requests in flight.
+     * is 1 / (L * N)^2, where L is the expected latency and N the requests in flight including this one.
      */
     private MemberState drawReplica(RequestState request, boolean fromOwnZone) {
         MemberState chosen = null;
@@ -621,8 +633,8 @@
     }
 
     /**
-     * Whether the server's data is new enough for a read. Where servers check reads, it need only be so probably, or
-     * nearly so.
+     * Whether the server's data is new enough for a read. Where servers check reads, an estimate suffices, and the data
+     * may be too old by half the time that a server waits for newer data.
      */
     private boolean isFreshEnough(MemberState member, RequestState request) {
         long required = request.requestClass.consistency() == Consistency.BOUNDED
@@ -652,7 +664,8 @@
 
     private void sendAttempt(RequestState request, MemberState member) {
         int attempt = request.attemptCount;
-        // An attempt that is pending when a copy is sent determines the repeat window, however it ends.
+        // The repeat window starts with the first attempt of uncertain effect. An attempt that is pending when a copy
+        // is sent counts as uncertain, however it ends.
         request.firstUncertainSentAt = firstUncertainSendTime(request);
         request.attemptMembers[attempt] = member;
         request.attemptSentAt[attempt] = now;
@@ -682,8 +695,9 @@
     }
 
     /**
-     * The longest expected latency with which a request is still accepted; it grows with the request's worth. A request
-     * held past its aim is judged by its late worth instead, and may take the place of one that is still in time.
+     * The longest expected latency with which a request is still accepted; it grows with the request's worth. Once a
+     * request has waited for half of that limit, its late worth times the time left until its deadline applies instead.
+     * Such a request may take the place of one that is still in time.
      */
     private double acceptableLatency(MemberState member, RequestState request) {
         double share = MIN_PATIENCE_AIM_SHARE
@@ -707,11 +721,10 @@
 
     /**
      * The latency expected of a request sent now. It is the class's usual latency, scaled by the slowdown of the
-     * server, by the reported queue (once more for each waiting request per one in service), and by the attempts in
-     * flight if there are more than usual.
+     * server, by 1 plus the estimated queue ratio, and by the attempts in flight if there are more than usual.
      *
-     * <p>A few attempts in flight do not slow a server down. Otherwise a rarely used replica would look busy with its
-     * second request.
+     * <p>A few attempts in flight do not count. Otherwise a rarely used replica would look busy with its second
+     * request.
      */
     private double expectedLatency(MemberState member, RequestState request) {
         double crowding =
@@ -720,8 +733,8 @@
     }
 
     /**
-     * The usual latency of the request's class. Without answers it returns to its initial value: otherwise the
-     * latencies of a bad period would have all requests refused for ever.
+     * The usual latency of the request's class. Without answers it returns to its initial value: otherwise high
+     * latencies, once measured, could cause all requests to be refused for ever.
      */
     private double usualLatency(RequestState request) {
         return usualLatencies[request.classIndex].valueAt(now, request.requestClass.aim() * INITIAL_LATENCY_AIM_SHARE);
@@ -881,9 +894,10 @@
     }
 
     /**
-     * Records a position of the server's log, which is a lower bound from now on. The lag that it shows estimates the
-     * server's lag where servers check reads. News is some time old, so the lag lies between {@code minLag} and
-     * {@code maxLag}, and the estimate changes only as far as this range contradicts it.
+     * Records a position of the server's log. It is a lower bound from now on. It also updates the estimate of the
+     * server's lag, which is used where servers check reads. A position may be some time old on arrival, so the lag
+     * lies between {@code minLag} and {@code maxLag}. The estimate changes only as far as needed to lie within this
+     * range.
      */
     private void recordPosition(MemberState member, long position, double minLag, double maxLag) {
         member.position = Math.max(member.position, position);
@@ -893,8 +907,8 @@
     }
 
     /**
-     * Records a report. Reports are some time old; the reports of primaries, whose position is the present, show how
-     * old at most.
+     * Records a report. Reports are some time old. A primary's position is the time at which it made the report, so the
+     * lag that the report shows is the age of the report. The upper bound of the age is estimated from these lags.
      */
     private void recordReport(MemberState member, Report report) {
         recordRole(member, report.role(), now - (long) reportAge);
@@ -933,7 +947,7 @@
         }
     }
 
-    /** Records a role of the server as of a time. The newest evidence wins, by the time for which it was true. */
+    /** Records a role of the server as of a time. It is ignored if the role is known for a later time. */
     private void recordRole(MemberState member, Role role, long since) {
         if (role == Role.UNKNOWN || since < member.roleAt) {
             return;
@@ -947,8 +961,8 @@
     }
 
     /**
-     * Looks for the primary of a group that has none known. One held write at a time is sent to one member after the
-     * other; only an answer of {@link Result#MISS} continues the search.
+     * Looks for the primary of a group where none is known or the known one takes no writes. One held write at a time
+     * is sent to one member after the other. The search continues after each attempt that does not show the primary.
      */
     private void searchForPrimary(GroupState group) {
         if (group.searchingRequest != null || now < group.nextSearchAt || group.heldRequests.isEmpty()) {
@@ -979,8 +993,8 @@
 
     /**
      * Handles a newest attempt that has taken far longer than usual. A long request takes long on any server, so the
-     * delay alone moves nothing. If the server has answered nothing since the attempt was sent, it is probed. A bad
-     * report, or silence for four times the usual latency, counts as a fault.
+     * delay alone does not move the request. If the server has answered nothing since the attempt was sent, it is
+     * probed. A bad report, or silence for four times the usual latency, counts as a fault.
      *
      * <p>Once the server is ejected or unhealthy, a request that is safe or has a key is tried on another server within
      * the retry budget: as a second copy, or, where those are not permitted, after the attempt is cancelled. This
@@ -1031,7 +1045,7 @@
                     warmAnswerRate.recordEvent(now);
                 }
                 if (request != null) {
-                    // The request waited for the rest of the time, which the queue ratio accounts for.
+                    // The rest of the time was spent in the queue, which the queue ratio accounts for.
                     double serviceTime = elapsed / (1 + member.queueRatio);
                     recordLatency(member, request, serviceTime);
                     usualLatencies[request.classIndex].addSample(
@@ -1049,7 +1063,7 @@
                 recordAnswer(member);
                 recordFault(member, "errors");
             }
-            // Not a sign of life: a hung server fills up too.
+            // This does not show that the server responds: a hung server becomes full too.
             case FULL -> member.busyUntil = now + FULL_BUSY_NANOS;
             case SPOILT -> {
                 // The server runs, so an occasional malformed answer is no reason to avoid it.
@@ -1091,12 +1105,12 @@
 
     /**
      * Adds a fault to the server's score, which counts errors, broken connections and unanswered requests together. Two
-     * faults almost in a row eject the server for a time that doubles with each ejection. A good answer halves the
-     * score; only the passing of time shortens the next ejection.
+     * faults almost in a row, or one fault of an unhealthy server, eject the server for a time that doubles with each
+     * ejection. A good answer halves the score; only the passing of time shortens the next ejection.
      *
-     * <p>Where the server's zone leaves many requests unanswered, more faults are needed, and at most half of a group
-     * is ejected at a time: what affects all servers is not the fault of one. The cost is that chance may eject a
-     * server for half a second.
+     * <p>Where the server's zone leaves many requests unanswered, more faults are needed. In any zone, at most half of
+     * a group is ejected at a time. The reason for both is that a failure of all servers does not have its cause in one
+     * of them. The cost is that chance may eject a server for half a second.
      */
     private void recordFault(MemberState member, String cause) {
         recordFault(member, cause, isUnhealthy(member) ? FAULT_LIMIT : 1);
@@ -1155,12 +1169,12 @@
 
     /**
      * Whether slow start permits one more request to the server now. The budget of a cold server grows as it warms up
-     * (rule 4). It is shared by all gateways: each takes the share that its own traffic has, and at random where that
-     * is less than one request.
+     * (rule 4). It is shared by all gateways: each takes the share that its own traffic has. Where that is less than
+     * one request, a random initial budget decides when a gateway sends one.
      *
      * <p>The rate of requests counts, not the rate of attempts sent: if all servers were thought cold, their budgets
-     * would otherwise stay closed. The rate is limited to what each warm server answers here, since under overload more
-     * is requested than any server could bear.
+     * would otherwise stay empty. The rate is limited to what each warm server answers here, since under overload more
+     * is requested than any server could handle.
      */
     private boolean slowStartAllows(MemberState member) {
         if (!isCold(member)) {
--- a/router/src/main/java/stoatrill/Gateway.java
+++ b/router/src/main/java/stoatrill/Gateway.java
@@ -25,7 +25,8 @@
      * Starts an attempt of a request: the first one, a retry, or a second copy. The attempts of a request are numbered
      * from 0 in the order of these calls.
      *
-     * @param timeout span after which the attempt ends as {@link Result#TIMEOUT}; 0 for when the client stops waiting
+     * @param timeout span after which the attempt ends as {@link Result#TIMEOUT}; 0 if it may last until the client
+     *     stops waiting
      */
     void sendAttempt(long request, long server, long timeout);
 
@@ -54,7 +55,7 @@
     /** Sends a short message, which may be lost, to a peer or to {@link #ALL_PEERS}. */
     void sendToPeer(int peer, byte[] message);
 
-    /** Starts or stops to watch the list of servers for changes. */
+    /** Starts or stops watching the list of servers for changes. */
     void watchServerList(boolean enabled);
 
     /** Requests the whole list of servers once. */
@@ -108,8 +109,8 @@
                 int tenantIndex);
 
         /**
-         * Reports that a streamed answer has begun. The attempt now belongs to the client; neither the timeout nor the
-         * deadline apply any more.
+         * Reports that a streamed answer has begun. The module has no further part in the attempt. Neither the timeout
+         * nor the deadline applies any more.
          */
         void onAnswerBegun(long now, long id, int attempt, long server);
 
@@ -208,7 +209,7 @@
         GONE
     }
 
-    /** How new the data must be that a read of a class sees, or that the class writes. */
+    /** How new the data must be that a read of the class sees; WRITE if the class consists of writes. */
     enum Consistency {
         WRITE,
         FRESH,
