--- a/router/src/main/java/stoatrill/core/Reducer.java
+++ b/router/src/main/java/stoatrill/core/Reducer.java
@@ -19,19 +19,22 @@
  * attempts, the probes and the connections to servers. It implements {@link Gateway}, through which the decision
  * module ({@link Decide}) acts.
  *
- * <p>The module's actions are queued and run after the event that caused them has returned, so the module is never
- * called reentrantly.
+ * <p>The actions that the module requests, except logging and counting, are queued. They run after the module's handler
+ * of the event has returned, so the module is never called reentrantly.
  */
 public final class Reducer implements Gateway, ServerPool.Owner {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long PROBE_TIMEOUT_NANOS = 500 * NANOS_PER_MILLI;
     /** How long after its deadline an unanswered request is failed; shorter than the slack the rules allow. */
     private static final long BACKSTOP_DELAY_NANOS = 5 * NANOS_PER_MILLI;
-    /** Tolerated because positions are rounded (commits upwards) and clocks are compared only from time to time. */
+    /**
+     * How far in the future a position may lie. Positions are rounded (commits upwards), and clocks are compared only
+     * from time to time.
+     */
     private static final long POSITION_TOLERANCE_NANOS = 20 * NANOS_PER_MILLI;
-    /** Upper bound on a client's announced wait, as a multiple of the longest give-up time of all classes. */
+    /** Upper bound on a client's announced wait, as a multiple of the longest client timeout of all classes. */
     private static final long MAX_WAIT_FACTOR = 10;
-    /** How long connections stay idle here, as a ratio of the time after which servers close idle connections. */
+    /** How long the router keeps an idle connection, as a ratio of the time after which servers close it. */
     private static final double IDLE_TIMEOUT_RATIO = 0.7;
 
     /** The reducer's configuration, including the module's settings; spans are in nanoseconds. */
@@ -135,7 +138,7 @@
             return;
         }
         if (clientRequest.isWrite() != (requestClass.consistency() == Consistency.WRITE)) {
-            // A writing statement must not be sent under a class that may be repeated: an upload could run twice.
+            // A writing statement must not be sent under a class that may be repeated: it could run twice.
             effects.answerClient(
                     client,
                     slot,
@@ -204,8 +207,9 @@
     }
 
     /**
-     * Describes why a request is invalid: no server could handle it, or a server would take it for another client's
-     * request. Returns null if it is valid.
+     * Describes why a request is invalid: its id is in use, its wait is out of range, or its group is unknown. With an
+     * id in use, a server would take it for another request. With an unknown group, no server could handle it. Returns
+     * null if it is valid.
      */
     private String findProblem(ClientRequest clientRequest) {
         if (openRequestNames.contains(clientRequest.id())) {
@@ -231,7 +235,7 @@
         }
     }
 
-    /** Handles a client's cancellation of one request: ends it at once and calls off its attempts. */
+    /** Handles a client's cancellation of one request: ends it at once and abandons its attempts not yet written. */
     public void onRequestCancelled(long eventTime, long client, long slot) {
         now = eventTime;
         Request request = openRequestsByClient.getOrDefault(client, Map.of()).get(slot);
@@ -300,9 +304,9 @@
     }
 
     /**
-     * Whether a query that was encoded for a server may be written now. Called immediately before the write, because
-     * time may have passed since the encoding and the request may be over. If the result is false, the caller calls
-     * {@link #onQueryAbandoned}.
+     * Whether a query may be written to its connection now. Called before the query is encoded and again immediately
+     * before a queued write, because time may have passed and the request may be over. If the result is false, the
+     * caller calls {@link #onQueryAbandoned}.
      *
      * @param isPartlyWritten whether a part of the query is written and the server is reading the rest
      */
@@ -360,7 +364,7 @@
         serverPool.connectionLost(now, connection, cause == DisconnectCause.FULL);
         serverPool.openDeferredConnections(now); // attempts that wait go before those the module sends next
         if (attempt != null) {
-            // Before the last byte is written, the server can't have begun; after it, that is unknown.
+            // Before the last byte is written, the server can't have begun to run the query; after it, it may have.
             boolean isWritten = attempt.state == Attempt.State.WRITTEN;
             endAttempt(
                     attempt,
@@ -372,7 +376,7 @@
 
     // Discovery and timer events
 
-    /** Handles news of the server list. The first call brings the cached list and starts the module. */
+    /** Handles an update of the server list. The first call brings the cached list and starts the module. */
     public void onServerList(long eventTime, ListKind listKind, List<ServerEntry> entries) {
         now = eventTime;
         List<ListEntry> members = serverDirectory.update(now, listKind, entries);
@@ -716,8 +720,8 @@
     }
 
     /**
-     * Returns the position, or {@code NO_POSITION} if it lies in the future, which is an error. Trusting a future
-     * position could break the bound on the age of data.
+     * Returns the position, or {@code NO_POSITION} if it lies further in the future than tolerated, which is an error.
+     * Trusting such a position could break the bound on the age of data.
      */
     private long positionIfPlausible(long position) {
         return position <= now + POSITION_TOLERANCE_NANOS ? position : NO_POSITION;
@@ -746,7 +750,7 @@
 
     // Final answers
 
-    /** Ends a request with its only final answer; null if the client has left. */
+    /** Ends a request with its only final answer. The answer is null if the client has left. */
     private void finishRequest(Request request, Answer answer) {
         if (request.isOver) {
             requestGate.recordViolation(RequestGate.Ruling.ANSWERED_TWICE);
@@ -759,7 +763,7 @@
                 "over",
                 answer == null ? "its client has left" : answer.getClass().getSimpleName());
         if (request.accounts != null && request.attempts.isEmpty()) {
-            // No attempt was begun.
+            // No attempt was created. The charge of an attempt is refunded at its end.
             request.accounts.refund(request.teamIndex, request.isGroupShort, request.chargedAt);
         }
         request.backstopDeadline.cancel();
@@ -780,7 +784,7 @@
         }
         for (Attempt attempt : request.attempts) {
             if (attempt.state == Attempt.State.AWAITING_CONNECTION || attempt.state == Attempt.State.WRITING) {
-                // It must not begin after the request's end.
+                // The server must not begin to run it after the request's end.
                 pendingActions.add(() -> abandonAttempt(attempt, Result.CANCELLED));
             }
         }
--- a/router/src/main/java/stoatrill/core/RequestGate.java
+++ b/router/src/main/java/stoatrill/core/RequestGate.java
@@ -16,11 +16,11 @@
  * moment's time of the monotonic clock. The decision depends on the state of the request, its client, its deadline and
  * the server. The gate holds no socket and reads no clock.
  *
- * <p>A denied action that is not taken is no error. An action taken against the rules is a violation: it is counted by
- * rule, and thrown if assertions are enabled. Not thread-safe.
+ * <p>A denial alone is not an error. It is a violation if the action is taken anyway, or if the denial shows a fault of
+ * the router. A violation is counted by rule, and also throws an error if assertions are enabled. Not thread-safe.
  */
 final class RequestGate {
-    /** An attempt decided on longer ago than this has its server's state checked again before it is written. */
+    /** If the module asked for an attempt longer ago than this, its server's state is checked again before writing. */
     private static final long DECISION_VALIDITY_NANOS = 2_000_000L;
     /** The rules' limit on how long after a request's end an attempt for it may still be sent. */
     private static final long SEND_AFTER_END_LIMIT_NANOS = 100_000_000L;
@@ -29,7 +29,7 @@
     /** The share of that limit which an attempt may use up before its write begins. */
     private static final long EXCESS_WAIT_AT_WRITE_LIMIT_NANOS = EXCESS_WAIT_LIMIT_NANOS * 2 / 3;
 
-    /** The longest pause of the process between reading its clock and writing that the rules ask it to bear. */
+    /** The longest pause of the process between reading its clock and writing that the rules require it to tolerate. */
     private static final long PROCESS_PAUSE_LIMIT_NANOS = 150_000_000L;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -43,11 +43,11 @@
         ATTEMPTS_SPENT,
         /** By what is known of the server, its data is too old for the read. */
         DATA_TOO_OLD,
-        /** The server is draining or gone, and its grace is nearly over. */
+        /** The server is draining or gone, and at least half of its grace is over. */
         SERVER_LEAVING,
-        /** Servers would no longer recognise a repeat as one. */
+        /** Servers may no longer recognise a repeat as one. */
         REPEAT_WINDOW_OVER,
-        /** The wait announced to the server exceeds the time that is left. */
+        /** The wait announced to the server exceeds the time until the deadline by more than is allowed. */
         WAIT_TOLD_TOO_LONG,
         /** The request already has its final answer. */
         ANSWERED_TWICE,
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Whether an attempt may still be written that was encoded for its server earlier, when {@link #checkSend} allowed
-     * it.
+     * Whether an attempt may still be written. {@link #checkSend} allowed it earlier, and the wait to announce to its
+     * server was set then. This method checks that wait only before the first byte.
      *
      * @param isPartlyWritten whether a part of it is written and the server is reading the rest
      */
@@ -119,9 +119,10 @@
     }
 
     /**
-     * Records that the last byte of an attempt is written, and counts the rules that this violates, whoever allowed it.
-     * The announced wait is no violation if the process was paused, between the gate's permission for the first byte
-     * and now, for longer than the rules ask it to bear: it could not have prevented that.
+     * Records that the last byte of an attempt is written. Counts a violation if the request ended too long ago or the
+     * announced wait is too long, even if the gate allowed the write. A longer time since the
+     * gate's permission for the first byte than {@link #PROCESS_PAUSE_LIMIT_NANOS} is taken for a pause of the process.
+     * The announced wait is then no violation, because the process could not have prevented it.
      */
     void recordSent(Attempt attempt, long now) {
         Request request = attempt.request;
@@ -144,7 +145,8 @@
 
     /**
      * Whether the server's known position is too old for a bounded read that waited for its connection. The rule on the
-     * age of data counts its bound from the last byte of the send, so the check at the decision is not enough.
+     * age of data measures the age when the last byte is sent. The check when the module chose the server is therefore
+     * not enough.
      */
     private boolean isStale(Attempt attempt, long now) {
         RequestClass requestClass = attempt.request.requestClass;
@@ -157,8 +159,8 @@
 
     /**
      * Whether the server of an attempt that waited for its connection has been leaving for at least half of the grace.
-     * Where the notification may have counted as told before this router heard of it, {@code leavingSince} is already
-     * set back by the whole grace. The rule on drains counts a send by its first byte.
+     * The grace may have started before this router received the notification. In that case {@code leavingSince} is
+     * already set back by the whole grace. The rule on drains takes the time of the first byte as the time of a send.
      */
     private boolean isLeaving(Attempt attempt, long now) {
         return now - attempt.createdAt > DECISION_VALIDITY_NANOS
@@ -167,9 +169,10 @@
     }
 
     /**
-     * Whether a further attempt of a keyed request comes after the class's repeat window, which starts when the first
-     * attempt that may have run was sent. After the window, servers no longer recognise a repeat as one and would run
-     * it again. This happens when connections are established late or windows are short.
+     * Whether a further attempt of a keyed request comes too late for the class's repeat window. The window is counted
+     * from when the module asked for the earliest other attempt that may have run. It is shortened by the answer slack.
+     * After the window, servers no longer recognise a repeat as one and would run it again. An attempt can be too late
+     * if its connection is established late or the window is short.
      */
     private boolean isRepeatWindowOver(Attempt attempt, long now) {
         if (attempt.number == 0 || attempt.request.requestClass.idempotency() != Gateway.Idempotency.KEYED) {
@@ -183,7 +186,7 @@
 
     // Answers and client connections
 
-    /** Whether a request may be given this answer; null if the client has left. */
+    /** Whether a request may be given this answer. The answer is null if the client has left. */
     Ruling checkAnswer(Request request, Answer answer) {
         if (request.isOver) {
             return Ruling.ANSWERED_TWICE;
