--- a/router/src/main/java/stoatrill/net/EventLoop.java
+++ b/router/src/main/java/stoatrill/net/EventLoop.java
@@ -51,11 +51,12 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int BUFFER_BYTES = 64 * 1024;
     private static final int BACKLOG_LIMIT = 512;
-    /** Queued output bytes from which on no further command of a client is read. */
+    /** While a client has at least this many bytes of queued output, no further command of it is read. */
     private static final long QUEUED_LIMIT_BYTES = 512 * 1024;
     /**
-     * Bytes that are read from a client ahead of the commands that wait to be handled. The end of a connection shows
-     * only behind everything that the client sent, so reading ahead is needed to notice that a client has left.
+     * Bytes of unhandled input up to which more is read from a client even while its commands must wait. The end of a
+     * connection can be seen only after everything that the client sent has been read, so reading ahead is needed to
+     * notice that a client has left.
      */
     private static final int READ_AHEAD_BYTES = 4 * BUFFER_BYTES;
     /** Server events that one iteration handles, so that the loop soon looks again for clients that have left. */
@@ -64,7 +65,7 @@
     private static final int COMMAND_LIMIT = 256;
     /** After SIGTERM the load balancer in front still sends new connections for up to 0.4 s. */
     private static final long ACCEPT_DURING_STOP_NANOS = 500 * NANOS_PER_MILLI;
-    /** SIGKILL follows 0.7 s after the longest deadline, which counts as at most 3 s. */
+    /** SIGKILL follows SIGTERM after the longest client timeout, counted as at most 3 s, plus 0.7 s. */
     private static final long STOP_DEADLINE_LIMIT_NANOS = 3_000 * NANOS_PER_MILLI;
 
     private static final long STOP_SLACK_NANOS = 500 * NANOS_PER_MILLI;
@@ -83,7 +84,7 @@
     private static final long LINGER_NANOS = 1_000 * NANOS_PER_MILLI;
     /** Connections accepted in one iteration. */
     private static final int ACCEPT_LIMIT = 64;
-    /** Clients closed in one iteration in favour of new ones; their descriptors become free only after it. */
+    /** Clients closed in one iteration to make room for new ones; their descriptors become free only afterwards. */
     private static final int SHED_LIMIT = 8;
     /** Rejected clients that may linger beyond the client limit; their descriptors come out of the reserve. */
     private static final int LINGERING_CLIENT_LIMIT = 16;
@@ -94,21 +95,21 @@
     private static final long CLIENT_IDLE_NANOS = 2_000 * NANOS_PER_MILLI;
 
     private static final long CLIENT_CHECK_INTERVAL_NANOS = 200 * NANOS_PER_MILLI;
-    /** A client that has sent no command for this long is closed to make room before one that has been served. */
+    /** A client that has never sent a command and is inactive for longer than this is the first one closed for room. */
     private static final long SILENT_CLIENT_GRACE_NANOS = 250 * NANOS_PER_MILLI;
     /** Bytes of unparsed input that are kept for all clients together. */
     private static final long UNPARSED_LIMIT_BYTES = 6 << 20;
 
     private static final long ACCEPT_RETRY_NANOS = 100 * NANOS_PER_MILLI;
-    /** Delay after a refused descriptor, by which connections given up for it are certainly closed. */
+    /** Delay before a retry after a refused descriptor; connections given up to free one are closed by then. */
     private static final long OPEN_RETRY_NANOS = NANOS_PER_MILLI;
 
-    /** Delay after idle connections were closed for lack of descriptors, before pending ones are opened. */
+    /** Delay after idle clients were closed for lack of descriptors, before pending connections are opened. */
     private static final long DESCRIPTOR_RETRY_NANOS = 10 * NANOS_PER_MILLI;
     /** How long a descriptor limit that was observed is assumed to hold. */
     private static final long OBSERVED_LIMIT_NANOS = 10_000 * NANOS_PER_MILLI;
 
-    /** How often the loop accepts without being told by the selector, which may have lost the listener. */
+    /** How often the loop accepts without an event from the selector, which may no longer report the listener. */
     private static final long ACCEPT_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
     /** How long the loop pauses after a system call that failed for lack of a resource. */
     private static final long RESOURCE_PAUSE_NANOS = NANOS_PER_MILLI / 5;
@@ -172,7 +173,7 @@
 
     private boolean isStopped;
     private boolean hasResourceShortage;
-    /** Whether clients are accepted: with pushed lists, not before the first list. */
+    /** Whether clients are accepted; with pushed lists, only from the first list or the end of the wait for it on. */
     private boolean admitsClients = true;
 
     private boolean recheckPending;
@@ -252,9 +253,9 @@
         } else {
             // With pushed lists the module requests none; over sockets they arrive through a watch on the agent.
             watchServerList(true);
-            // Servers of the known list may have left since. What the agent knows counts as known from the start, and
-            // clients connect at once, since the load balancer may not have noticed the restart. They wait in the
-            // backlog until the first list has arrived, so that none is routed to a server that has left.
+            // Servers of the known list may have left since it was written. The router must not use them if the agent
+            // already knows that they have left. Clients connect at once, since the load balancer may not have noticed
+            // the restart. They wait in the backlog for the first list, but no longer than FIRST_LIST_WAIT_NANOS.
             admitsClients = false;
             listener.setAccepting(false);
             deadlines.schedule(now() + FIRST_LIST_WAIT_NANOS, () -> {
@@ -296,7 +297,7 @@
         return clocks.toModuleTime(System.nanoTime());
     }
 
-    /** Called in each iteration, so that wall-clock times of peers are converted by the newest difference. */
+    /** Called in each iteration, so that wall-clock times of peers are converted with the newest clock difference. */
     private void compareClocks() {
         long stepNanos = clocks.resync(wallClockNanos(), System.nanoTime());
         if (Math.abs(stepNanos) > CLOCK_STEP_NANOS) {
@@ -376,7 +377,7 @@
     void runGuarded(Link link, Runnable event) {
         try {
             event.run();
-        } catch (Throwable e) { // also Error: failing to load a class, or no memory, ends no other request
+        } catch (Throwable e) { // also Error: a missing class or lack of memory must end no other request
             handleFailure(link, e);
         }
     }
@@ -406,9 +407,9 @@
     }
 
     /**
-     * Applies the contracts of a reloaded configuration, and moves to the discovery address that its file names if that
-     * has changed, even if a variable took precedence over the file at the start. All other settings stay until the
-     * next start, since requests in progress were accepted under them.
+     * Applies the contracts of a reloaded configuration. Also moves to the discovery address in the file if that has
+     * changed, even if an environment variable took precedence over the file at the start. All other settings stay
+     * until the next start, since requests in progress were accepted under them.
      */
     private void applyPendingConfig() {
         Config newConfig = pendingConfig;
@@ -501,9 +502,9 @@
             deadlines.schedule(now() + ACCEPT_DURING_STOP_NANOS, () -> mayStopWhenIdle = true);
             deadlines.schedule(now() + (long) (shutdownNanos * SERVING_SHARE), () -> stopPhase = StopPhase.DRAINING);
             deadlines.schedule(now() + shutdownNanos, () -> {
-                reducer.failAllRequests(now()); // an upload that takes too long still gets exactly one answer
+                reducer.failAllRequests(now()); // a writing statement that takes too long still gets exactly one answer
                 deadlines.schedule(
-                        now() + LAST_READ_NANOS, () -> isStopped = true); // from now, as the loop may be late
+                        now() + LAST_READ_NANOS, () -> isStopped = true); // counted from now, as the loop may run late
             });
         }
         boolean isIdle = clients.isEmpty() && reducer.unansweredCount() == 0;
@@ -616,9 +617,9 @@
     }
 
     /**
-     * Handles a descriptor refused below the configured limit: lowers the limit to what was available, closes idle
-     * connections down to it, and then opens the pending ones. Nothing is lost: a connection that is pending counts as
-     * one that is slow to connect.
+     * Handles a descriptor refused below the configured limit: lowers the limit to the number of open connections
+     * less a spare, closes idle clients until the limit is kept, and opens the pending connections after a delay.
+     * Nothing is lost: a pending connection counts as one that is slow to connect.
      */
     private void freeDescriptors() {
         if (descriptorReleasePending) {
@@ -671,8 +672,9 @@
     }
 
     /**
-     * Closes a client connection to make room: one that has never sent a command, else the one that has been idle
-     * longest, so that clients that connect by the hundred and send nothing don't displace established ones.
+     * Closes a client connection to make room: one that has never sent a command and is past the grace period, else the
+     * one that has been idle longest. Hundreds of clients that connect and send nothing thus don't displace established
+     * ones.
      *
      * @return false if all clients are busy
      */
@@ -775,7 +777,7 @@
         void readAvailable(ByteBuffer buffer) {
             boolean mayReadMore = unparsedBytes == 0 || totalUnparsedBytes < UNPARSED_LIMIT_BYTES;
             if (!mayReadMore) {
-                setInterest(SelectionKey.OP_READ, false); // paused until other clients have released some
+                setInterest(SelectionKey.OP_READ, false); // paused until less unparsed input is kept for other clients
                 deadlines.schedule(now() + CLIENT_CHECK_INTERVAL_NANOS, this::updateReadInterest);
             }
             for (int n = 0; mayReadMore && n < READ_AHEAD_BYTES / BUFFER_BYTES && isOpen(); n++) {
@@ -806,7 +808,8 @@
         }
 
         void answer(long slot, Answer answer) {
-            long unreadBefore = protocol.isNext(slot) ? queuedBytes() : unreadBytes; // it releases those held back
+            // An answer that is next in order releases the answers held back behind it, so those don't count.
+            long unreadBefore = protocol.isNext(slot) ? queuedBytes() : unreadBytes;
             boolean keepsValue = !(answer instanceof Answer.Served served)
                     || unreadAnswers.hasRoom(unreadBefore, served.value().length, clients.size());
             protocol.answer(slot, keepsValue ? answer : new Answer.Failed("the client does not read its answers"));
@@ -1059,7 +1062,10 @@
         }
     }
 
-    /** Handles a refused descriptor: a single refusal may be a failed call and is retried, several mean a limit. */
+    /**
+     * Handles a refused descriptor. Fewer than {@link #REFUSAL_LIMIT} consecutive refusals may be failed calls, so the
+     * connection is opened again soon; that many mean that no descriptor is free.
+     */
     private void handleOpenRefusal(String reason) {
         count("open", "refused");
         if (++consecutiveRefusals < REFUSAL_LIMIT) {
@@ -1187,7 +1193,7 @@
         updateReadiness(kind != Gateway.ListKind.FAILED && kind != Gateway.ListKind.SILENT);
     }
 
-    /** Marks the router as ready once it has a list, and tells the clients that asked. */
+    /** Marks the router as ready once it has a list, and answers the clients that asked whether it is. */
     private void updateReadiness(boolean hasList) {
         if (!isReady && hasList) {
             isReady = true;
